--- a/bench/src/packet_cost.rs
+++ b/bench/src/packet_cost.rs
@@ -11,8 +11,8 @@
 
 use lagoonproxy_packet::flows::flow_cost::FlowCosts;
 use lagoonproxy_packet::host_settings::HostSettings;
-use lagoonproxy_packet::load::service_room::ServiceRoom;
-use lagoonproxy_packet::load::service_room::UpstreamLoad;
+use lagoonproxy_packet::load::load_state::ContentionState;
+use lagoonproxy_packet::load::load_state::UpstreamLoad;
 use lagoonproxy_packet::packet_action::PacketAction;
 use lagoonproxy_packet::packet_action::PacketOutput;
 use lagoonproxy_packet::packet_core::PacketCore;
@@ -126,7 +126,7 @@
 pub struct SelectionBench {
     table: UpstreamTable,
     now: Instant,
-    room: ServiceRoom,
+    room: ContentionState,
 }
 
 impl SelectionBench {
@@ -151,7 +151,7 @@
             }
             table.learn_loads(&FlowCosts::default());
         }
-        let room = ServiceRoom {
+        let room = ContentionState {
             pressure: 900,
             is_contended,
             updated_at: Some(now),
@@ -176,7 +176,7 @@
                 local_hosts: 30,
                 tried: &[],
                 room: self.room,
-                leaves_for: None,
+                spill_zone: None,
             };
             black_box(select_upstream(&self.table, query));
         }
@@ -252,7 +252,7 @@
         store_address: own,
         warmup_tolerance: None,
         stop_grace: Duration::from_secs(6),
-        flow_age: Duration::from_secs(60),
+        max_flow_age: Duration::from_secs(60),
     }
 }
 
@@ -335,7 +335,7 @@
 /// A request on a flow; every flow is the first upstream's, so that nothing is drawn here.
 fn request_head(flow: u32, turn: u32) -> PacketHead {
     PacketHead {
-        kind: PacketKind::Carry,
+        kind: PacketKind::Established,
         caller: caller(flow),
         service: SERVICE,
         tag: flow_tag(&upstream_name(0).into()),
--- a/packet/src/admission/admission_state.rs
+++ b/packet/src/admission/admission_state.rs
@@ -1,4 +1,4 @@
-//! What a host remembers for admission by class, and the decision on each SYN of a contended service.
+//! State of admission by class on one host, and the decision on each SYN of a contended service.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,59 +8,59 @@
 use crate::admission::admission_pressure::AdmissionPressure;
 use crate::admission::caller_share::CallerShares;
 use crate::admission::class_admission::ClassAdmissionConfig;
+use crate::admission::class_admission::SynDecision;
 use crate::admission::class_admission::SynQuery;
-use crate::admission::class_admission::SynVerdict;
-use crate::admission::class_admission::judge_syn;
-use crate::admission::class_admission::waited_copies;
+use crate::admission::class_admission::decide_syn;
+use crate::admission::class_admission::effective_copy;
 use crate::admission::class_demand::ClassDemand;
 use crate::admission::deferred_syns::DeferredSyns;
 use crate::flows::flow_table::FlowKey;
 use crate::ids::ClassRank;
 use crate::ids::ServiceIndex;
-use crate::load::load_view::SynOutcome;
-use crate::load::service_room::ServiceRoom;
+use crate::load::load_state::ContentionState;
+use crate::load::load_tracker::SynOutcome;
 use crate::routes::route_table::RequestClass;
 
-/// A SYN of a contended service that has arrived.
+/// A SYN of a contended service that has arrived at this host.
 #[derive(Clone, Copy, Debug)]
 pub struct SynArrival {
-    /// The two ends of its flow.
+    /// Caller and service address of the flow.
     pub key: FlowKey,
-    /// Hash of the flow, alike on every host.
+    /// Hash of the flow; the same on every host.
     pub flow_hash: u64,
-    /// Its service.
+    /// Service that the SYN is addressed to.
     pub service: ServiceIndex,
-    /// The load of its service.
-    pub room: ServiceRoom,
-    /// The class of the request inside.
+    /// Load of the service.
+    pub room: ContentionState,
+    /// Class of the request that the flow carries.
     pub class: RequestClass,
-    /// Which retransmission it is; 0 for the first SYN.
+    /// Copy number: 0 for the first SYN, n for retransmission n.
     pub copy: u32,
-    /// An earlier SYN of the flow went to an upstream through this host.
+    /// Whether this host has forwarded an earlier SYN of the flow to an upstream.
     pub placed_before: bool,
     /// Whether an upstream is known to have a free slot.
     pub has_free_slot: bool,
-    /// Latency objective of the route, from the first SYN.
+    /// Latency objective of the route, counted from the first SYN.
     pub target: Option<Duration>,
-    /// Timeout of the route, from the first SYN.
+    /// Timeout of the route, counted from the first SYN.
     pub timeout: Option<Duration>,
 }
 
-/// What a host remembers for admission by class.
+/// State of admission by class on one host.
 #[derive(Debug)]
 pub struct AdmissionState {
     config: ClassAdmissionConfig,
     callers: CallerShares,
     deferred: DeferredSyns,
     demand: ClassDemand,
-    /// By service.
+    /// Admission pressures, indexed by service.
     pressures: Vec<AdmissionPressure>,
-    /// Hedges while a service is contended.
+    /// Budget of hedges while services are contended.
     hedges: RetryBudget,
 }
 
 impl AdmissionState {
-    /// A host that remembers nothing yet.
+    /// Creates an empty state.
     pub fn new(config: ClassAdmissionConfig) -> Self {
         let ratio = 1.0 / f64::from(config.flows_per_hedge);
         Self {
@@ -73,21 +73,21 @@
         }
     }
 
-    /// Records a new flow or a request of a class, also in calm.
+    /// Records a new flow or a request of a class. Called whether or not the service is contended.
     pub fn record_demand(&mut self, now: Instant, service: ServiceIndex, rank: ClassRank) {
         self.demand.record(now, service, rank);
     }
 
-    /// Records a SYN that was placed in calm.
+    /// Records a SYN that was placed while its service was not contended.
     pub fn record_placed(&mut self, now: Instant, service: ServiceIndex, rank: ClassRank) {
         self.demand.record(now, service, rank);
         let pressure = self.pressure(service);
-        pressure.relieve();
+        pressure.end_contention();
         pressure.record(now, rank, 0);
     }
 
-    /// Decides about a SYN of a contended service, and remembers the decision.
-    pub fn judge(&mut self, now: Instant, syn: &SynArrival) -> (SynQuery, SynVerdict) {
+    /// Decides on a SYN of a contended service and records the decision.
+    pub fn evaluate(&mut self, now: Instant, syn: &SynArrival) -> (SynQuery, SynDecision) {
         let (service, rank) = (syn.service, syn.class.rank);
         let caller = *syn.key.caller.ip();
         self.demand.record(now, service, rank);
@@ -96,43 +96,43 @@
         }
         let demand = self
             .demand
-            .rank(now, service, rank, self.config.demand_memory);
+            .rank(now, service, rank, self.config.demand_timeout);
         let query = SynQuery {
             room: syn.room,
             pressure: self.derived_pressure(now, service, syn.room),
             class: syn.class,
             demand_rank: demand.rank,
-            demanding_classes: demand.classes,
+            classes_with_demand: demand.classes,
             copy: syn.copy,
             flow_hash: syn.flow_hash,
             placed_before: syn.placed_before,
-            deferred_before: self.deferred.is_unopened(now, &syn.key, syn.copy),
+            known_unopened: self.deferred.is_unopened(now, &syn.key, syn.copy),
             has_free_slot: syn.has_free_slot,
             is_heavy_caller: self.callers.is_heavy(service, rank, caller),
             target: syn.target,
             timeout: syn.timeout,
         };
-        let verdict = judge_syn(&self.config, &query);
+        let decision = decide_syn(&self.config, &query);
         if !syn.placed_before {
-            let copy = waited_copies(&query);
+            let copy = effective_copy(&query);
             self.pressure(service).record(now, rank, copy);
         }
-        match verdict {
-            SynVerdict::Defer(_) => self.deferred.record(now, syn.key, syn.copy),
-            SynVerdict::Admit | SynVerdict::Refuse(_) => self.deferred.remove(&syn.key),
+        match decision {
+            SynDecision::Defer(_) => self.deferred.record(now, syn.key, syn.copy),
+            SynDecision::Admit | SynDecision::Refuse(_) => self.deferred.remove(&syn.key),
         }
-        if verdict == SynVerdict::Admit && !syn.placed_before {
+        if decision == SynDecision::Admit && !syn.placed_before {
             self.hedges.earn();
         }
-        (query, verdict)
+        (query, decision)
     }
 
-    /// Whether a flow cannot be open: this host deferred each of its SYNs before this one.
+    /// Whether a flow cannot be open because this host deferred every SYN of it before this one.
     pub fn is_unopened(&self, now: Instant, key: &FlowKey, copy: u32) -> bool {
         self.deferred.is_unopened(now, key, copy)
     }
 
-    /// Records what a dispatcher decided about a SYN.
+    /// Records a dispatcher's decision on a SYN.
     pub fn record_dispatched(
         &mut self,
         now: Instant,
@@ -147,37 +147,44 @@
     }
 
     fn pressure(&mut self, service: ServiceIndex) -> &mut AdmissionPressure {
-        let place = service as usize;
-        if place >= self.pressures.len() {
-            self.pressures.resize(place + 1, Default::default());
+        let index = service as usize;
+        if index >= self.pressures.len() {
+            self.pressures.resize(index + 1, Default::default());
         }
-        &mut self.pressures[place]
+        &mut self.pressures[index]
     }
 
-    /// The pressure at which SYNs of a service are judged.
-    fn derived_pressure(&mut self, now: Instant, service: ServiceIndex, room: ServiceRoom) -> u32 {
+    /// Returns the admission pressure of a service.
+    fn derived_pressure(
+        &mut self,
+        now: Instant,
+        service: ServiceIndex,
+        room: ContentionState,
+    ) -> u32 {
         let config = self.config;
         let mut pressure = *self.pressure(service);
         let demand = &self.demand;
         let derived = pressure.derive(now, room.pressure, &config, |rank| {
-            let demand = demand.rank(now, service, rank, config.demand_memory);
+            let demand = demand.rank(now, service, rank, config.demand_timeout);
             config.ramp(demand.rank, demand.classes)
         });
         self.pressures[service as usize] = pressure;
         derived
     }
 
-    /// Takes one hedge of a SYN of a contended service from the budget; false if none is left.
+    /// Takes one hedge of a SYN of a contended service from the budget. Returns false if the budget
+    /// is empty.
     pub fn spend_hedge(&mut self) -> bool {
         self.hedges.spend()
     }
 
-    /// Handles a stall of this process: flows that it deferred may have been opened through other hosts.
+    /// Handles a stall of this process, during which other hosts may have opened the deferred
+    /// flows.
     pub fn restart(&mut self, now: Instant) {
-        self.deferred.restart(now);
+        self.deferred.discard_after_stall(now);
     }
 
-    /// Removes what is no longer needed. To be called several times a second.
+    /// Removes expired state. Must be called several times a second.
     pub fn tick(&mut self, now: Instant) {
         self.callers.tick(now);
         self.deferred.tick(now);
--- a/packet/src/admission/class_admission.rs
+++ b/packet/src/admission/class_admission.rs
@@ -1,69 +1,77 @@
-//! Decides which SYNs of a contended service are placed now, by priority class.
+//! Decides which SYNs of a contended service are admitted, by priority class.
 //!
-//! Load pattern: a service has less room than its callers need. If every SYN is placed, upstreams shed
-//! requests without regard to their priority, and the callers' retries add to the load.
+//! If a service with less capacity than demand receives every SYN, its upstreams shed requests
+//! regardless of priority, and the callers' retries add to the load.
 
 use std::time::Duration;
 
 use lagoonproxy::flow_hash::rendezvous_weight;
 use lagoonproxy::result_code::ResultCode;
 
-use crate::admission::syn_copies::copy_age;
-use crate::admission::syn_copies::next_copy_age;
+use crate::admission::syn_retransmission::next_transmission_offset;
+use crate::admission::syn_retransmission::transmission_offset;
 use crate::ids::ClassRank;
-use crate::load::service_room::ServiceRoom;
+use crate::load::load_state::ContentionState;
 use crate::routes::route_table::RequestClass;
 
-/// An admitted share of 1; shares and draws are in parts of it.
-pub const WHOLE_SHARE: u32 = 1000;
+/// An admitted share of 1. Shares and sample values are in parts of it.
+pub const FULL_SHARE: u32 = 1000;
 
-/// The pressures between which the admitted share of a class falls from [`WHOLE_SHARE`] to the minimum.
+/// Range of pressures over which the admitted share of a class falls from [`FULL_SHARE`] to the
+/// minimum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PressureRamp {
-    /// Pressure up to which all are admitted.
+    /// Highest pressure at which all SYNs are admitted.
     pub start: u32,
-    /// Pressure from which the minimum share is admitted; above `start`.
+    /// Lowest pressure at which the minimum share is admitted; above `start`.
     pub end: u32,
 }
 
-/// Parameters of admission by class. Pressures are in thousandths of a request in progress per slot.
+/// Parameters of admission by class. Pressures are in thousandths of a request in progress per
+/// slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassAdmissionConfig {
-    /// Minimum admitted share of a class, in parts of [`WHOLE_SHARE`]. Above 0, so that no class starves.
+    /// Minimum admitted share of a class, in parts of [`FULL_SHARE`]. Above 0, so that no class
+    /// starves.
     pub minimum_share: u32,
-    /// Ramp of the least urgent of several classes.
+    /// Ramp of the least urgent class if there are several classes.
     pub least_urgent: PressureRamp,
-    /// Distance between the ramps of a class and the next more urgent one. At least the length of a ramp and the decrease
-    /// for the last copy, so that all SYNs of a class get the minimum share before a more urgent class is deferred.
+    /// Distance between the ramps of a class and the next more urgent one. At least the length of a
+    /// ramp plus the decrease for the last retransmission, so that all SYNs of a class are down to
+    /// the minimum share before a more urgent class is deferred.
     pub class_distance: u32,
-    /// Ramp of the only class.
+    /// Ramp of a class that is the only one.
     pub only_class: PressureRamp,
-    /// Pressure below which the admitted rate rises: half as many requests wait as run, so that slots are seldom idle
-    /// and a request waits for less than its own time.
+    /// Service pressure below which the admitted rate increases. At this value, half as many
+    /// requests wait as run, so that slots are seldom idle and a request waits for less than its
+    /// own service time.
     pub target_pressure: u32,
-    /// Pressure above which the admitted rate falls: that from which upstreams with short queues shed.
+    /// Service pressure above which the admitted rate decreases: the pressure at which upstreams
+    /// with short queues start to shed.
     pub shed_pressure: u32,
-    /// Increase of the admitted rate per [`REQUEST_LOAD`](crate::load::service_room::REQUEST_LOAD) of pressure below
-    /// `target_pressure`, in parts of [`WHOLE_SHARE`].
+    /// Increase of the admitted rate per [`REQUEST_LOAD`](crate::load::load_state::REQUEST_LOAD)
+    /// of pressure below `target_pressure`, in parts of [`FULL_SHARE`].
     pub rate_increase: u32,
-    /// Decrease of the admitted rate per `REQUEST_LOAD` of pressure above `shed_pressure`, in parts of [`WHOLE_SHARE`].
-    /// A pressure raised by sheds stands for a shed share of 50; a little more ends the sheds within seconds.
+    /// Decrease of the admitted rate per `REQUEST_LOAD` of pressure above `shed_pressure`, in parts
+    /// of [`FULL_SHARE`]. One `REQUEST_LOAD` of excess corresponds to a shed share of 50
+    /// thousandths; a slightly larger decrease ends shedding within seconds.
     pub rate_decrease: u32,
-    /// Largest multiple by which the admitted rate rises within a second.
+    /// Maximum factor by which the admitted rate increases within a second.
     pub maximum_growth: u32,
-    /// Largest divisor by which it falls within a second.
+    /// Maximum divisor by which the admitted rate decreases within a second.
     pub maximum_fall: u32,
-    /// New flows a second on one host below which a change of their number is taken for chance.
-    pub usual_flows: u32,
-    /// Time for which a class counts after its last new flow or request.
-    pub demand_memory: Duration,
-    /// Decrease of pressure per copy number, so that callers that have waited go first.
+    /// Weight of the long-term demand against the recent counts, in flows per second. Below this
+    /// rate on one host, a change of the flow count is treated as noise.
+    pub prior_flows: u32,
+    /// Time after its last new flow or request during which a class has demand.
+    pub demand_timeout: Duration,
+    /// Decrease of pressure per copy number, so that callers that have waited are admitted first.
     pub copy_decrease: u32,
     /// Increase of pressure for a caller that opens far more flows than others of its class.
-    pub heavy_increase: u32,
-    /// New flows of contended services per hedge to an upstream.
+    pub heavy_caller_increase: u32,
+    /// New flows of contended services per hedge to another upstream.
     pub flows_per_hedge: u32,
-    /// Hedges that may be saved up.
+    /// Maximum number of unused hedges in the budget.
     pub hedge_burst: u32,
 }
 
@@ -86,79 +94,80 @@
             rate_decrease: 60,
             maximum_growth: 10,
             maximum_fall: 2,
-            usual_flows: 10,
-            demand_memory: Duration::from_secs(3),
+            prior_flows: 10,
+            demand_timeout: Duration::from_secs(3),
             copy_decrease: 750,
-            heavy_increase: 1500,
+            heavy_caller_increase: 1500,
             flows_per_hedge: 10,
             hedge_burst: 10,
         }
     }
 }
 
-/// A SYN of a contended service.
+/// The inputs of an admission decision on a SYN of a contended service.
 #[derive(Clone, Copy, Debug)]
 pub struct SynQuery {
-    /// The load of its service.
-    pub room: ServiceRoom,
-    /// The pressure at which it is judged; see [`crate::admission::admission_pressure`].
+    /// Load of the service.
+    pub room: ContentionState,
+    /// Admission pressure of the service; see [`crate::admission::admission_pressure`].
     pub pressure: u32,
-    /// The class of the request inside.
+    /// Class of the request that the flow carries.
     pub class: RequestClass,
-    /// Rank of the class among those of the service that have demand; below `demanding_classes`.
+    /// Rank of the class among the classes of the service that have demand; below
+    /// `classes_with_demand`.
     pub demand_rank: ClassRank,
-    /// Classes of the service that have demand, this one included; at least 1.
-    pub demanding_classes: u8,
-    /// Which retransmission it is; 0 for the first SYN.
+    /// Number of classes of the service that have demand, including this one; at least 1.
+    pub classes_with_demand: u8,
+    /// Copy number: 0 for the first SYN, n for retransmission n.
     pub copy: u32,
-    /// Hash of the flow, alike on every host.
+    /// Hash of the flow; the same on every host.
     pub flow_hash: u64,
-    /// An earlier SYN of the flow went to an upstream through this host.
+    /// Whether this host has forwarded an earlier SYN of the flow to an upstream.
     pub placed_before: bool,
-    /// Every earlier SYN of the flow was deferred by this host, so that the flow is not open. True for the
-    /// first, except after a stall of this host.
-    pub deferred_before: bool,
+    /// Whether this host deferred every earlier SYN of the flow, so that the flow is not open. True
+    /// for the first SYN, except after a stall of this host.
+    pub known_unopened: bool,
     /// Whether an upstream is known to have a free slot.
     pub has_free_slot: bool,
-    /// Whether the caller uses far more than others of its class.
+    /// Whether the caller opens far more flows than others of its class.
     pub is_heavy_caller: bool,
-    /// Latency objective of the route, from the first SYN.
+    /// Latency objective of the route, counted from the first SYN.
     pub target: Option<Duration>,
-    /// Timeout of the route, from the first SYN.
+    /// Timeout of the route, counted from the first SYN.
     pub timeout: Option<Duration>,
 }
 
-/// What becomes of a SYN.
+/// An admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SynVerdict {
-    /// It is placed.
+pub enum SynDecision {
+    /// The SYN is placed.
     Admit,
-    /// It is dropped, and its caller sends the next one.
+    /// The SYN is dropped, and its caller retransmits it.
     Defer(ResultCode),
-    /// The flow is reset: its request has not run and will not.
+    /// The flow is reset. Its request has not run and will not run.
     Refuse(ResultCode),
 }
 
 impl PressureRamp {
-    /// The admitted share at a pressure, in parts of [`WHOLE_SHARE`].
+    /// Returns the admitted share at a pressure, in parts of [`FULL_SHARE`].
     pub fn share(&self, pressure: u32, minimum_share: u32) -> u32 {
         if pressure <= self.start {
-            return WHOLE_SHARE;
+            return FULL_SHARE;
         }
         if pressure >= self.end {
             return minimum_share;
         }
         let excess = u64::from(pressure - self.start);
         let length = u64::from(self.end - self.start);
-        let fall = u64::from(WHOLE_SHARE - minimum_share) * excess / length;
-        WHOLE_SHARE - fall as u32
+        let decrease = u64::from(FULL_SHARE - minimum_share) * excess / length;
+        FULL_SHARE - decrease as u32
     }
 }
 
 impl ClassAdmissionConfig {
-    /// The ramp of a class by its rank among the classes that have demand.
-    pub fn ramp(&self, demand_rank: ClassRank, demanding_classes: u8) -> PressureRamp {
-        let last = u32::from(demanding_classes.saturating_sub(1));
+    /// Returns the ramp of a class by its rank among the classes that have demand.
+    pub fn ramp(&self, demand_rank: ClassRank, classes_with_demand: u8) -> PressureRamp {
+        let last = u32::from(classes_with_demand.saturating_sub(1));
         if last == 0 {
             return self.only_class;
         }
@@ -171,75 +180,85 @@
     }
 }
 
-/// Decides about a SYN of a contended service.
-pub fn judge_syn(config: &ClassAdmissionConfig, query: &SynQuery) -> SynVerdict {
-    // A copy arrives at its age at the earliest, so that one whose age is the timeout is older than it.
+/// Decides on a SYN of a contended service.
+pub fn decide_syn(config: &ClassAdmissionConfig, query: &SynQuery) -> SynDecision {
+    // A retransmission arrives no earlier than its offset, so a SYN whose offset equals the timeout
+    // is too late.
     let expired = query
         .timeout
-        .is_some_and(|timeout| copy_age(query.copy) >= timeout);
+        .is_some_and(|timeout| transmission_offset(query.copy) >= timeout);
     if expired {
         return refuse_unopened(query, ResultCode::DeadlinePassed);
     }
-    if query.placed_before || query.has_free_slot || is_drawn(config, query, query.is_heavy_caller)
+    if query.placed_before
+        || query.has_free_slot
+        || is_in_admitted_share(config, query, query.is_heavy_caller)
     {
-        return SynVerdict::Admit;
+        return SynDecision::Admit;
     }
     if is_next_copy_in_time(query) {
-        return SynVerdict::Defer(ResultCode::QueueFull);
+        return SynDecision::Defer(ResultCode::QueueFull);
     }
-    let code = match query.is_heavy_caller && is_drawn(config, query, false) {
+    let code = match query.is_heavy_caller && is_in_admitted_share(config, query, false) {
         true => ResultCode::FairShareExceeded,
         false => ResultCode::PriorityRefused,
     };
     refuse_unopened(query, code)
 }
 
-/// Refuses a flow, unless an earlier copy may have opened it through another host.
-fn refuse_unopened(query: &SynQuery, code: ResultCode) -> SynVerdict {
-    match query.deferred_before && !query.placed_before {
-        true => SynVerdict::Refuse(code),
-        false => SynVerdict::Admit,
+/// Refuses a flow, or admits it if another host may have opened it with an earlier SYN.
+fn refuse_unopened(query: &SynQuery, code: ResultCode) -> SynDecision {
+    match query.known_unopened && !query.placed_before {
+        true => SynDecision::Refuse(code),
+        false => SynDecision::Admit,
     }
 }
 
-/// Whether the draw of a SYN falls within the admitted share of its class.
-fn is_drawn(config: &ClassAdmissionConfig, query: &SynQuery, is_heavy: bool) -> bool {
-    syn_draw(query.flow_hash, query.copy) < drawn_share(config, query, is_heavy)
+/// Whether the sample value of a SYN falls within the admitted share of its class.
+fn is_in_admitted_share(config: &ClassAdmissionConfig, query: &SynQuery, is_heavy: bool) -> bool {
+    syn_sample(query.flow_hash, query.copy) < admitted_share(config, query, is_heavy)
 }
 
-fn drawn_share(config: &ClassAdmissionConfig, query: &SynQuery, is_heavy: bool) -> u32 {
-    let decrease = config.copy_decrease.saturating_mul(waited_copies(query));
-    let increase = if is_heavy { config.heavy_increase } else { 0 };
+fn admitted_share(config: &ClassAdmissionConfig, query: &SynQuery, is_heavy: bool) -> u32 {
+    let decrease = config.copy_decrease.saturating_mul(effective_copy(query));
+    let increase = if is_heavy {
+        config.heavy_caller_increase
+    } else {
+        0
+    };
     let pressure = query.pressure.saturating_add(increase);
     let pressure = pressure.saturating_sub(decrease);
-    let ramp = config.ramp(query.demand_rank, query.demanding_classes);
+    let ramp = config.ramp(query.demand_rank, query.classes_with_demand);
     ramp.share(pressure, config.minimum_share)
 }
 
-/// The copy number, as far as it decreases the pressure: 0 for a copy that is late already.
-pub fn waited_copies(query: &SynQuery) -> u32 {
-    match is_within(copy_age(query.copy), query.target) {
+/// Returns the copy number by which the pressure decreases: 0 for a SYN that has already
+/// missed its latency objective.
+pub fn effective_copy(query: &SynQuery) -> u32 {
+    match is_within(transmission_offset(query.copy), query.target) {
         true => query.copy,
         false => 0,
     }
 }
 
-/// Whether the caller's next copy can still be answered, if this one is dropped.
+/// Whether the caller's next retransmission arrives early enough for a response, if this SYN is
+/// dropped.
 fn is_next_copy_in_time(query: &SynQuery) -> bool {
-    let Some(next) = next_copy_age(query.copy) else {
+    let Some(next) = next_transmission_offset(query.copy) else {
         return false;
     };
     let before_timeout = query.copy == 0 && is_within(next, query.timeout);
     is_within(next, query.target) || before_timeout
 }
 
-fn is_within(age: Duration, limit: Option<Duration>) -> bool {
-    limit.is_none_or(|limit| age < limit)
+fn is_within(offset: Duration, limit: Option<Duration>) -> bool {
+    limit.is_none_or(|limit| offset < limit)
 }
 
-/// The draw of a SYN, the same on every host; below [`WHOLE_SHARE`].
-pub fn syn_draw(flow_hash: u64, copy: u32) -> u32 {
+/// Returns the pseudo-random sample value of a SYN, below [`FULL_SHARE`]. It is the same on every
+/// host.
+pub fn syn_sample(flow_hash: u64, copy: u32) -> u32 {
     let hash = rendezvous_weight(flow_hash, u64::from(copy));
-    let draw = (u128::from(hash) * u128::from(WHOLE_SHARE)) >> u64::BITS;
-    draw as u32
+    let sample = (u128::from(hash) * u128::from(FULL_SHARE)) >> u64::BITS;
+    sample as u32
 }
--- a/packet/src/admission/class_demand.rs
+++ b/packet/src/admission/class_demand.rs
@@ -1,4 +1,5 @@
-//! Records which classes of each service have demand, so that classes of unused routes have no effect.
+//! Records which classes of each service have demand, so that the classes of unused routes have no
+//! effect.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,59 +8,61 @@
 use crate::ids::ServiceIndex;
 use crate::routes::route_table::MOST_CLASSES;
 
-/// When each class of each service last had a new flow or a request.
+/// Time of the last new flow or request of each class of each service.
 #[derive(Debug, Default)]
 pub struct ClassDemand {
-    /// By service, then by rank; `None` for a class that had none.
+    /// Indexed by service, then by rank; `None` for a class without any demand so far.
     last_demands: Vec<[Option<Instant>; MOST_CLASSES]>,
 }
 
-/// The place of a class among those that have demand.
+/// The rank of a class among the classes of its service that have demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DemandRank {
-    /// Classes with demand that are more urgent.
+    /// Number of more urgent classes with demand.
     pub rank: ClassRank,
-    /// Classes with demand, this one included; from 1 to [`MOST_CLASSES`].
+    /// Number of classes with demand, including this one; from 1 to [`MOST_CLASSES`].
     pub classes: u8,
 }
 
 impl ClassDemand {
-    /// Records a new flow or a request of a class. A rank of [`MOST_CLASSES`] or more is counted as the last.
+    /// Records a new flow or a request of a class. Ranks of [`MOST_CLASSES`] and above count as the
+    /// last rank.
     pub fn record(&mut self, now: Instant, service: ServiceIndex, rank: ClassRank) {
-        let place = service as usize;
-        if place >= self.last_demands.len() {
-            self.last_demands.resize(place + 1, Default::default());
+        let index = service as usize;
+        if index >= self.last_demands.len() {
+            self.last_demands.resize(index + 1, Default::default());
         }
-        self.last_demands[place][class_place(rank)] = Some(now);
+        self.last_demands[index][class_index(rank)] = Some(now);
     }
 
-    /// The place of a class among those that had demand within `memory`; it counts itself in any case.
+    /// Returns the rank of a class among the classes that had demand within `timeout`. The class
+    /// itself always counts.
     pub fn rank(
         &self,
         now: Instant,
         service: ServiceIndex,
         rank: ClassRank,
-        memory: Duration,
+        timeout: Duration,
     ) -> DemandRank {
-        let own = class_place(rank);
+        let own = class_index(rank);
         let last_demands = self.last_demands.get(service as usize).copied();
         let mut demand = DemandRank {
             rank: 0,
             classes: 1,
         };
-        for (place, last_demand) in last_demands.unwrap_or_default().iter().enumerate() {
+        for (index, last_demand) in last_demands.unwrap_or_default().iter().enumerate() {
             let recent =
-                last_demand.is_some_and(|last| now.saturating_duration_since(last) < memory);
-            if place == own || !recent {
+                last_demand.is_some_and(|last| now.saturating_duration_since(last) < timeout);
+            if index == own || !recent {
                 continue;
             }
             demand.classes += 1;
-            demand.rank += ClassRank::from(place < own);
+            demand.rank += ClassRank::from(index < own);
         }
         demand
     }
 }
 
-fn class_place(rank: ClassRank) -> usize {
+fn class_index(rank: ClassRank) -> usize {
     usize::from(rank).min(MOST_CLASSES - 1)
 }
--- a/packet/src/admission/deferred_syns.rs
+++ b/packet/src/admission/deferred_syns.rs
@@ -1,7 +1,8 @@
-//! Remembers the flows of which this host deferred every SYN so far, which therefore are not open.
+//! Tracks the flows of which this host has deferred every SYN so far, which are therefore not open.
 //!
-//! Load pattern: hosts join, leave or freeze during a rush, and the copies of a SYN go to different hosts.
-//! A host that refuses a copy could reset a flow that another host has opened.
+//! The SYNs of one flow can reach different hosts, for example while hosts join, leave or stall
+//! during a burst. A host that refused a retransmission without this check could reset a flow that
+//! another host has opened.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,32 +11,34 @@
 
 use crate::flows::flow_table::FlowKey;
 
-/// Maximum number of flows that are remembered. Copies of further flows are never refused.
+/// Maximum number of tracked flows. Retransmissions of untracked flows are never refused.
 pub const MAX_DEFERRED: usize = 4096;
 
-/// Time for which a flow is remembered after its first SYN: callers give up after 1.4 s.
-pub const DEFERRED_LIFE: Duration = Duration::from_millis(1600);
+/// Time after its first SYN during which a flow is tracked. Callers give up after 1.4 s.
+pub const DEFERRED_LIFETIME: Duration = Duration::from_millis(1600);
 
 #[derive(Clone, Copy, Debug)]
 struct DeferredFlow {
-    /// The first copy that this host has not deferred; it has deferred all before it.
+    /// Copy number of the first SYN that this host has not deferred. It has deferred all
+    /// earlier ones.
     next_copy: u32,
     expires_at: Instant,
 }
 
-/// The flows of which this host deferred every SYN so far.
+/// Flows of which this host has deferred every SYN so far.
 #[derive(Debug, Default)]
 pub struct DeferredSyns {
-    /// At most [`MAX_DEFERRED`].
+    /// At most [`MAX_DEFERRED`] entries.
     flows: HashMap<FlowKey, DeferredFlow>,
-    /// Until when no flow is known to be unopened: SYNs that waited in the socket during a stall of this
-    /// process are read, and later copies may have opened their flows through other hosts.
+    /// Time until which every flow may be open, after a stall of this process. The SYNs queued in
+    /// the socket during the stall are then read, and later retransmissions may have opened their
+    /// flows through other hosts.
     unknown_until: Option<Instant>,
 }
 
 impl DeferredSyns {
-    /// Whether this host deferred every copy before this one, so that the flow is not open. True for the
-    /// first copy, except after a stall.
+    /// Whether this host deferred every SYN before this one, so that the flow is not open. True for
+    /// the first SYN, except after a stall.
     pub fn is_unopened(&self, now: Instant, key: &FlowKey, copy: u32) -> bool {
         if self.unknown_until.is_some_and(|until| now < until) {
             return false;
@@ -45,7 +48,8 @@
         copy == 0 || flow.is_some_and(|flow| flow.next_copy == copy)
     }
 
-    /// Records that a copy was deferred. A flow of which an earlier copy was not deferred here is not recorded.
+    /// Records a deferred SYN. A flow is not tracked if this host did not defer an earlier SYN of
+    /// it.
     pub fn record(&mut self, now: Instant, key: FlowKey, copy: u32) {
         if !self.is_unopened(now, &key, copy) {
             self.flows.remove(&key);
@@ -54,7 +58,7 @@
         if let Some(flow) = self.flows.get_mut(&key) {
             flow.next_copy = copy + 1;
             if copy == 0 {
-                flow.expires_at = now + DEFERRED_LIFE;
+                flow.expires_at = now + DEFERRED_LIFETIME;
             }
             return;
         }
@@ -66,7 +70,7 @@
         }
         let flow = DeferredFlow {
             next_copy: copy + 1,
-            expires_at: now + DEFERRED_LIFE,
+            expires_at: now + DEFERRED_LIFETIME,
         };
         self.flows.insert(key, flow);
     }
@@ -76,23 +80,23 @@
         self.flows.remove(key);
     }
 
-    /// Flows that are remembered.
+    /// Returns the number of tracked flows.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether no flow is remembered.
+    /// Whether no flow is tracked.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Handles a stall of this process.
-    pub fn restart(&mut self, now: Instant) {
+    /// Discards all flows after a stall of this process.
+    pub fn discard_after_stall(&mut self, now: Instant) {
         self.flows.clear();
-        self.unknown_until = Some(now + DEFERRED_LIFE);
+        self.unknown_until = Some(now + DEFERRED_LIFETIME);
     }
 
-    /// Removes flows whose callers have given up. To be called several times a second.
+    /// Removes flows whose callers have given up. Must be called several times a second.
     pub fn tick(&mut self, now: Instant) {
         self.flows.retain(|_key, flow| now < flow.expires_at);
     }
--- a/packet/src/admission/mod.rs
+++ b/packet/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission of new flows: which are placed now, deferred or refused.
+//! Admission control for new flows: which are placed, deferred or refused.
 
 pub mod admission_pressure;
 pub mod admission_state;
@@ -6,6 +6,6 @@
 pub mod class_admission;
 pub mod class_demand;
 pub mod deferred_syns;
-pub mod opening_admission;
-pub mod syn_copies;
+pub mod syn_deferral;
+pub mod syn_retransmission;
 pub mod warmup_admission;
--- a/packet/src/admission/warmup_admission.rs
+++ b/packet/src/admission/warmup_admission.rs
@@ -1,55 +1,58 @@
-//! How fast an upstream gets new flows while it warms up.
+//! Limits the rate of new flows to an upstream that is warming up.
 //!
-//! Load pattern: the upstreams of a zone come back cold, or a release replaces many at once. They have
-//! no flows, so that a choice by load sends them everything new from every host at the same moment; an
-//! upstream that bears a few requests a second until it is warm then falls over, and starts cold again.
+//! When the upstreams of a zone return cold or a release replaces many at once, they have no flows.
+//! Selection by load then sends them all new flows from every host at the same time. An upstream
+//! that can handle only a few requests a second until it is warm fails under this load and starts
+//! cold again.
 //!
-//! Hosts agree on a rate without messages: each warming upstream gets its flows through one host of its
-//! zone, the first by rendezvous hashing of the hosts that are known there. While two hosts disagree on
-//! who that is, both together stay within the bound. A host that does not know its zone yet claims none.
+//! Hosts enforce a common rate without exchanging messages. Each warming upstream receives its
+//! flows through one host of its zone, which claims it: the first by rendezvous hashing among the
+//! hosts known in the zone. While two hosts disagree on the claim, both together stay within the
+//! bound. A host that does not know its zone yet claims no upstream.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::routes::route_config::ServiceWarmup;
 
-/// Hosts that may hold the same upstream for theirs for a moment, when one joins or leaves.
+/// Maximum number of hosts that claim the same upstream while a host joins or leaves.
 const MAX_CLAIMS: u64 = 2;
 
 /// One request a second, in thousandths.
-const ONE_A_SECOND: u64 = 1000;
+const ONE_PER_SECOND: u64 = 1000;
 
-/// How far the flows of a warming upstream may exceed the rate that it bears, in any span of a second.
+/// Tolerance by which the flows of a warming upstream may exceed its rate in any span of one
+/// second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupTolerance {
-    /// Thousandths of the rate.
+    /// Factor on the rate, in thousandths.
     pub overrun: u64,
-    /// Thousandths of a request on top.
+    /// Requests on top of that, in thousandths.
     pub slack: u64,
 }
 
-/// The limit of a service whose upstreams bear a known rate while they warm up.
+/// Limit on the new flows of a service whose upstreams have a known rate while they warm up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupLimit {
-    /// How long an upstream warms up.
+    /// Duration of the warm-up.
     pub duration: Duration,
-    /// Least time between two new flows of a claimed upstream; `None` if it gets none.
+    /// Minimum time between two new flows of a claimed upstream; `None` if it receives none.
     pub interval: Option<Duration>,
 }
 
-/// One upstream's share in a limit.
+/// State of the limit for one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WarmupAdmission {
-    /// Whether this host is the one that places its flows.
+    /// Whether this host places the flows of the upstream.
     pub is_claimed: bool,
-    /// When the next flow may be placed; `None` before the first.
+    /// Earliest time of the next flow; `None` before the first flow.
     next_flow: Option<Instant>,
 }
 
 impl WarmupLimit {
-    /// The limit of a service; `None` if the operators state no rate.
+    /// Returns the limit of a service; `None` if its configuration states no rate.
     ///
-    /// Flows are paced so that any second holds one more than the pace says at most.
+    /// Flows are paced so that any second contains at most one flow more than the pace allows.
     pub fn new(warmup: &ServiceWarmup, tolerance: Option<WarmupTolerance>) -> Option<Self> {
         if warmup.rate == 0 {
             return None;
@@ -58,7 +61,7 @@
             Some(tolerance) => warmup.rate * tolerance.overrun / 1000 + tolerance.slack,
             None => warmup.rate,
         };
-        let share = (bound / MAX_CLAIMS).saturating_sub(ONE_A_SECOND);
+        let share = (bound / MAX_CLAIMS).saturating_sub(ONE_PER_SECOND);
         let pace = share.min(warmup.rate);
         let interval = (pace > 0).then(|| Duration::from_micros(1_000_000_000 / pace));
         Some(Self {
@@ -74,7 +77,7 @@
         self.is_claimed && self.next_flow.is_none_or(|next| next <= now)
     }
 
-    /// Records that a flow was placed.
+    /// Records a placed flow.
     pub fn flow_placed(&mut self, now: Instant, limit: WarmupLimit) {
         self.next_flow = Some(now + limit.interval.unwrap_or(limit.duration));
     }
--- a/packet/src/core_dispatch.rs
+++ b/packet/src/core_dispatch.rs
@@ -1,4 +1,5 @@
-//! How a core asks the dispatcher of a contended service where a flow goes.
+//! Asks the dispatcher of a contended service for the placement of new flows, and reports
+//! requests to it.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -6,18 +7,18 @@
 
 use lagoonproxy::result_code::ResultCode;
 
-use crate::admission::syn_copies::next_copy_age;
+use crate::admission::syn_retransmission::next_transmission_offset;
 use crate::core_load::SelectedSyn;
 use crate::dispatch::dispatch_client::DispatchClient;
 use crate::dispatch::dispatch_client::QueryState;
 use crate::dispatch::dispatch_message::DispatchQuery;
 use crate::dispatch::dispatch_message::DispatchReply;
 use crate::dispatch::dispatch_message::DispatchVerdict;
-use crate::dispatch::dispatch_message::MOST_EXCLUDED;
-use crate::dispatch::dispatch_message::MOST_HOLD_MS;
+use crate::dispatch::dispatch_message::MAX_EXCLUDED;
+use crate::dispatch::dispatch_message::MAX_HOLD_MS;
 use crate::dispatch::dispatch_message::RequestEvent;
 use crate::dispatch::dispatch_policy::LimitedShare;
-use crate::dispatch::dispatch_policy::RecentDemand;
+use crate::dispatch::dispatch_policy::PriorityMix;
 use crate::dispatch::dispatcher_choice::DispatcherChoice;
 use crate::dispatch::request_ledger::RequestLedger;
 use crate::dispatch::waiting_flows::WaitingFlows;
@@ -26,8 +27,8 @@
 use crate::ids::HoldMillis;
 use crate::ids::ServiceIndex;
 use crate::ids::UpstreamIndex;
-use crate::load::load_view::AddressedDatagram;
-use crate::load::load_view::SynOutcome;
+use crate::load::load_tracker::AddressedDatagram;
+use crate::load::load_tracker::SynOutcome;
 use crate::packet_action::DecisionEvent;
 use crate::packet_action::PacketAction;
 use crate::packet_action::PacketOutput;
@@ -36,93 +37,100 @@
 use crate::peers::peer_datagram::PeerDatagram;
 use crate::routes::route_config::RequestPriority;
 
-/// How long a dispatcher hears of requests before it places flows: requests that began before are not counted.
+/// How long a dispatcher receives request events of a service before it places flows. It does not
+/// know the requests that began earlier.
 const LEARNING_TIME: Duration = Duration::from_millis(300);
 
-/// Time without a reported request of a service after which a dispatcher starts anew.
-const EVENT_SILENCE: Duration = Duration::from_secs(1);
+/// Time without a request event of a service after which a dispatcher has to learn its requests
+/// again.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A SYN waits for room for at most one part in this many of the latency objective.
+/// Divides the latency objective of a route: a SYN waits for free capacity no longer than the
+/// quotient.
 const HOLD_DIVISOR: u32 = 4;
 
-/// What a dispatcher holds, and what a host holds of dispatchers.
+/// The dispatch state of a host: as a client of the dispatchers, and as a dispatcher itself.
 #[derive(Debug, Default)]
 pub(crate) struct DispatchState {
     pub(crate) choice: DispatcherChoice,
     pub(crate) client: DispatchClient,
     pub(crate) ledger: RequestLedger,
-    /// By service, since when its requests are reported here.
+    /// For each service, the time span in which this host has received its request events.
     reports: Vec<Option<ReportSpan>>,
-    /// Whether the packet at hand was parked before.
+    /// Whether the packet that is being handled was parked before.
     pub(crate) is_resumed: bool,
-    /// By service, its dispatcher as of the last tick; `None` for services that are not contended.
+    /// The dispatcher of each service as of the last tick; `None` for services that are not
+    /// contended.
     dispatchers: Vec<Option<SocketAddrV4>>,
-    /// By service, what its dispatcher was asked for.
+    /// The recent queries for each service, if this host is its dispatcher.
     demands: Vec<ServiceDemand>,
-    /// Flows that wait for room at this dispatcher.
+    /// Flows that wait for free capacity at this dispatcher.
     pub(crate) waiting: WaitingFlows,
-    /// Queries to send.
+    /// Queries to send, with their dispatchers.
     queries: Vec<(SocketAddrV4, DispatchQuery)>,
-    /// Replies to send.
+    /// Replies to send, with the hosts that sent the queries.
     pub(crate) replies: Vec<(SocketAddrV4, DispatchReply)>,
 }
 
-/// The time for which requests of a service have been reported here without a break.
+/// The time span in which request events of a service have arrived without interruption.
 #[derive(Clone, Copy, Debug)]
 struct ReportSpan {
     since: Instant,
-    /// When the last request was reported.
+    /// When the last event arrived.
     last: Instant,
 }
 
-/// What a dispatcher was asked for of late.
+/// The recent queries for one service, at its dispatcher.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceDemand {
-    pub(crate) recent: RecentDemand,
+    pub(crate) recent: PriorityMix,
     pub(crate) limited: LimitedShare,
 }
 
-/// What becomes of a SYN that a dispatcher may place.
+/// How to proceed with a SYN of a contended service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DispatchStep {
-    /// This host decides.
-    Alone,
-    /// The SYN waits for the reply, or is a duplicate of one that does.
+    /// This host selects the upstream itself.
+    Local,
+    /// Nothing: the SYN waits for the dispatcher's reply, or duplicates one that does.
     Wait,
-    /// It goes to this upstream.
+    /// Forward the SYN to this upstream.
     Place(UpstreamIndex),
-    /// It is left to its caller's next one.
+    /// Drop the SYN, so that the caller retransmits it.
     Defer,
-    /// It is refused.
+    /// Refuse the flow.
     Refuse,
 }
 
 impl DispatchState {
+    /// Returns the dispatcher of a service; `None` if the service is not contended.
     fn dispatcher(&self, service: ServiceIndex) -> Option<SocketAddrV4> {
         self.dispatchers.get(service as usize).copied().flatten()
     }
 
     pub(crate) fn demand(&mut self, service: ServiceIndex) -> &mut ServiceDemand {
-        let place = service as usize;
-        if self.demands.len() <= place {
-            self.demands.resize(place + 1, ServiceDemand::default());
+        let index = service as usize;
+        if self.demands.len() <= index {
+            self.demands.resize(index + 1, ServiceDemand::default());
         }
-        &mut self.demands[place]
+        &mut self.demands[index]
     }
 
-    pub(crate) fn heard_request(&mut self, now: Instant, service: ServiceIndex) {
-        let place = service as usize;
-        if self.reports.len() <= place {
-            self.reports.resize(place + 1, None);
+    /// Records that a request event of a service has arrived.
+    pub(crate) fn record_report(&mut self, now: Instant, service: ServiceIndex) {
+        let index = service as usize;
+        if self.reports.len() <= index {
+            self.reports.resize(index + 1, None);
         }
-        let begun = ReportSpan {
+        let new_span = ReportSpan {
             since: now,
             last: now,
         };
-        self.reports[place].get_or_insert(begun).last = now;
+        self.reports[index].get_or_insert(new_span).last = now;
     }
 
-    pub(crate) fn knows_requests(&self, now: Instant, service: ServiceIndex) -> bool {
+    /// Whether request events of a service have arrived for [`LEARNING_TIME`].
+    pub(crate) fn has_learned_requests(&self, now: Instant, service: ServiceIndex) -> bool {
         let span = self.reports.get(service as usize).copied().flatten();
         span.is_some_and(|span| now.saturating_duration_since(span.since) >= LEARNING_TIME)
     }
@@ -130,16 +138,17 @@
     fn tick(&mut self, now: Instant) {
         self.client.expire(now);
         self.ledger.expire_requests(now);
-        let silent =
-            |span: &mut ReportSpan| now.saturating_duration_since(span.last) >= EVENT_SILENCE;
+        let is_silent =
+            |span: &mut ReportSpan| now.saturating_duration_since(span.last) >= REPORT_TIMEOUT;
         for span in &mut self.reports {
-            span.take_if(silent);
+            span.take_if(is_silent);
         }
     }
 }
 
 impl PacketCore {
-    /// Chooses the dispatchers of contended services anew, and expires what has lasted its time.
+    /// Chooses the dispatchers of the contended services, and expires queries, requests and
+    /// waiting flows.
     pub(crate) fn tick_dispatch(&mut self, now: Instant) {
         self.dispatch.tick(now);
         self.serve_waiting(now);
@@ -148,17 +157,18 @@
         }
         let pools = self.upstreams.pools();
         self.dispatch.dispatchers.resize(pools.len(), None);
-        for (place, pool) in pools.iter().enumerate() {
+        for (index, pool) in pools.iter().enumerate() {
             let dispatcher = pool.is_contended.then(|| {
                 self.dispatch
                     .choice
                     .choose(now, &self.peers, self.capacity, pool.tag)
             });
-            self.dispatch.dispatchers[place] = dispatcher;
+            self.dispatch.dispatchers[index] = dispatcher;
         }
     }
 
-    /// What becomes of a SYN of a contended service, by its dispatcher.
+    /// Returns how to proceed with a SYN of a contended service. Queries the dispatcher, or
+    /// applies its reply if the SYN was parked for it.
     pub(crate) fn dispatch_syn(
         &mut self,
         now: Instant,
@@ -166,7 +176,7 @@
         output: &mut PacketOutput,
     ) -> DispatchStep {
         let Some(dispatcher) = self.dispatch.dispatcher(syn.service) else {
-            return DispatchStep::Alone;
+            return DispatchStep::Local;
         };
         let flow = flow_digest(syn.flow_hash);
         match self.dispatch.client.take(now, flow) {
@@ -182,10 +192,10 @@
                         dispatcher: address,
                     });
                 }
-                return DispatchStep::Alone;
+                return DispatchStep::Local;
             }
-            QueryState::Outdated => return DispatchStep::Alone,
-            QueryState::Absent if self.dispatch.is_resumed => return DispatchStep::Alone,
+            QueryState::Outdated => return DispatchStep::Local,
+            QueryState::Absent if self.dispatch.is_resumed => return DispatchStep::Local,
             QueryState::Absent => {}
         }
         let query = self.dispatch_query(now, syn, flow);
@@ -200,14 +210,14 @@
         }
         let key = FlowKey::of(syn.head);
         if !self.dispatch.client.ask(now, key, flow, dispatcher) {
-            return DispatchStep::Alone;
+            return DispatchStep::Local;
         }
         self.dispatch.queries.push((dispatcher, query));
         output.actions.push(PacketAction::Park);
         DispatchStep::Wait
     }
 
-    /// Decides about a packet that was parked; it is not parked again.
+    /// Handles a packet that was parked before. It is not parked again.
     pub fn resume_packet(&mut self, now: Instant, head: &PacketHead, output: &mut PacketOutput) {
         self.detect_stall(now);
         self.dispatch.is_resumed = true;
@@ -215,8 +225,11 @@
         self.dispatch.is_resumed = false;
     }
 
-    /// Reports to the dispatcher that a flow's request began or ended with a packet. One that began in the packet that
-    /// acknowledged the answer before (`answered`) is reported too, since the count of the former one expires.
+    /// Reports to the dispatcher that a packet began or ended a request of a flow.
+    ///
+    /// `before` is the upstream at which the flow had a request in progress before the packet.
+    /// `answered` means that the packet acknowledged a response. If it also began the next request,
+    /// that one is reported as well: the dispatcher's record of the former request expires.
     pub(crate) fn report_request(
         &mut self,
         now: Instant,
@@ -244,26 +257,26 @@
         let dispatcher = self.dispatch.dispatcher(record.service);
         match dispatcher.filter(|_dispatcher| record.is_local) {
             Some(dispatcher) if dispatcher == self.peers.own => {
-                self.heard_requests(now, &[event]);
+                self.handle_request_events(now, &[event]);
             }
             Some(dispatcher) => self.dispatch.client.report(dispatcher, event),
             None => {}
         }
     }
 
-    /// The upstream at which a flow has a request in progress.
+    /// Returns the upstream at which a flow has a request in progress.
     pub(crate) fn waiting_upstream(&self, key: &FlowKey) -> Option<UpstreamIndex> {
-        let record = self.evidence.flow(key)?;
+        let record = self.flow_tracker.flow(key)?;
         record.waiting_since.map(|_since| record.upstream)
     }
 
-    /// Whether datagrams for dispatchers wait to be sent.
+    /// Whether queries, replies or request events are waiting to be sent.
     pub fn has_dispatch_datagrams(&self) -> bool {
         let dispatch = &self.dispatch;
         dispatch.client.has_events() || !dispatch.queries.is_empty() || !dispatch.replies.is_empty()
     }
 
-    /// The datagrams for dispatchers.
+    /// Takes the queries, replies and request events that are waiting to be sent.
     pub fn take_dispatch_datagrams(&mut self) -> Vec<AddressedDatagram> {
         let batches = self.dispatch.client.take_events().into_iter();
         let events = batches.map(|(target, events)| (target, PeerDatagram::Requests(events)));
@@ -280,8 +293,9 @@
             .collect()
     }
 
-    /// Merges a dispatcher's reply; the flow whose SYN waits for it, and when it is to be handed in again.
-    pub fn heard_reply(
+    /// Merges a dispatcher's reply. Returns the flow whose SYN is parked for it, and when to resume
+    /// the SYN; `None` if no SYN waits for this reply.
+    pub fn handle_reply(
         &mut self,
         now: Instant,
         from: SocketAddrV4,
@@ -302,7 +316,7 @@
         flow: FlowDigest,
     ) -> DispatchQuery {
         let class = self.routes.class(syn.head.service, syn.service);
-        let tried = syn.copy.tried.iter();
+        let tried = syn.observations.tried.iter();
         let tags = tried.filter_map(|index| self.upstreams.get(*index).tag);
         DispatchQuery {
             flow,
@@ -310,11 +324,12 @@
             priority: class.map_or(RequestPriority::LEAST_URGENT, |class| class.priority),
             may_refuse: self.may_refuse(now, syn),
             hold_ms: self.hold_millis(syn.head),
-            excluded: tags.take(MOST_EXCLUDED).collect(),
+            excluded: tags.take(MAX_EXCLUDED).collect(),
         }
     }
 
-    /// Carries a verdict out as far as this host's own view of the upstream allows it.
+    /// Converts a dispatcher's verdict to a step. This host decides itself if it considers the
+    /// selected upstream unusable, or if it must not refuse the flow.
     fn follow_verdict(
         &self,
         now: Instant,
@@ -329,42 +344,45 @@
                     let panic = degraded && self.is_panic(syn.service);
                     self.is_dispatchable(*index, syn.service, panic)
                 });
-                usable.map_or(DispatchStep::Alone, DispatchStep::Place)
+                usable.map_or(DispatchStep::Local, DispatchStep::Place)
             }
             DispatchVerdict::Defer | DispatchVerdict::Refuse if !self.may_refuse(now, syn) => {
-                DispatchStep::Alone
+                DispatchStep::Local
             }
             DispatchVerdict::Defer if self.awaits_next_syn(syn.head) => DispatchStep::Defer,
             DispatchVerdict::Defer | DispatchVerdict::Refuse => DispatchStep::Refuse,
-            DispatchVerdict::Wait | DispatchVerdict::Unknown => DispatchStep::Alone,
+            DispatchVerdict::Wait | DispatchVerdict::Unknown => DispatchStep::Local,
         }
     }
 
-    /// Whether the flow of a SYN cannot be open, so that a reset says truly that its request has not run.
+    /// Whether the flow of a SYN is certainly not open, so that its request cannot have run and a
+    /// reset is safe.
     fn may_refuse(&self, now: Instant, syn: SelectedSyn<'_>) -> bool {
         let key = FlowKey::of(syn.head);
         let is_unopened = self.admission.is_unopened(now, &key, syn.head.ack);
-        is_unopened && syn.copy.tried.is_empty()
+        is_unopened && syn.observations.tried.is_empty()
     }
 
-    /// How long a SYN may wait for room: a part of the latency objective, so that the request can still be in time.
+    /// Returns how long a SYN may wait for free capacity: a part of the latency objective, so that
+    /// the request can still be answered in time.
     fn hold_millis(&self, head: &PacketHead) -> HoldMillis {
         let target = self.routes.target(head.service);
-        let hold = target.map_or(u128::from(MOST_HOLD_MS), |target| {
+        let hold = target.map_or(u128::from(MAX_HOLD_MS), |target| {
             (target / HOLD_DIVISOR).as_millis()
         });
-        HoldMillis::try_from(hold).map_or(MOST_HOLD_MS, |hold| hold.min(MOST_HOLD_MS))
+        HoldMillis::try_from(hold).map_or(MAX_HOLD_MS, |hold| hold.min(MAX_HOLD_MS))
     }
 
-    /// Whether a request can still be answered in time if its next SYN is placed.
+    /// Whether the request can still be answered in time if the caller's next SYN is placed.
     fn awaits_next_syn(&self, head: &PacketHead) -> bool {
-        let next = next_copy_age(head.ack);
+        let next = next_transmission_offset(head.ack);
         let target = self.routes.target(head.service);
         next.is_some_and(|age| target.is_none_or(|target| age < target))
     }
 
-    /// Defers or refuses a SYN whose class has no room.
-    pub(crate) fn limit_class(
+    /// Adds the deferral or refusal of a SYN to the output, if the dispatcher has found no free
+    /// capacity for its class.
+    pub(crate) fn limit_syn(
         &mut self,
         now: Instant,
         syn: SelectedSyn<'_>,
@@ -383,7 +401,7 @@
     }
 }
 
-/// The short form of a flow's hash in what hosts and dispatchers send each other.
+/// Shortens the hash of a flow for messages between hosts and dispatchers.
 fn flow_digest(flow_hash: u64) -> FlowDigest {
     (flow_hash ^ (flow_hash >> 32)) as FlowDigest
 }
--- a/packet/src/core_dispatcher.rs
+++ b/packet/src/core_dispatcher.rs
@@ -1,4 +1,4 @@
-//! How a core acts as the dispatcher of a contended service.
+//! Places the new flows of a contended service for the hosts of the zone, as its dispatcher.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use crate::dispatch::dispatch_message::DispatchQuery;
 use crate::dispatch::dispatch_message::DispatchReply;
 use crate::dispatch::dispatch_message::DispatchVerdict;
-use crate::dispatch::dispatch_message::MOST_HOLD_MS;
+use crate::dispatch::dispatch_message::MAX_HOLD_MS;
 use crate::dispatch::dispatch_message::RequestEvent;
 use crate::dispatch::dispatch_policy::DispatchCandidate;
+use crate::dispatch::dispatch_policy::effective_reserve;
 use crate::dispatch::dispatch_policy::is_limited;
-use crate::dispatch::dispatch_policy::kept_reserve;
 use crate::dispatch::dispatch_policy::least_loaded;
 use crate::dispatch::waiting_flows::WaitingFlow;
 use crate::ids::FlowDigest;
 use crate::ids::ServiceIndex;
 use crate::ids::ServiceTag;
 use crate::ids::UpstreamIndex;
-use crate::load::load_view::AddressedDatagram;
-use crate::load::service_room::REQUEST_LOAD;
+use crate::load::load_state::REQUEST_LOAD;
+use crate::load::load_tracker::AddressedDatagram;
 use crate::packet_core::PacketCore;
 use crate::peers::peer_datagram::PeerDatagram;
 use crate::policy_config::FLOW_LOAD;
@@ -29,29 +29,31 @@
 use crate::selection::upstream_selection::sample;
 use crate::upstreams::upstream_record::UpstreamRecord;
 
-/// The room that a service has for one flow.
+/// The best upstream for a flow, and whether the flow may use it.
 #[derive(Clone, Copy, Debug)]
-struct FlowRoom {
+struct FlowPlacement {
     /// The least loaded upstream.
-    best: DispatchCandidate,
-    /// Whether a reserve is kept from flows of this class.
+    candidate: DispatchCandidate,
+    /// Whether capacity is reserved for flows of more urgent classes.
     may_limit: bool,
-    /// Whether the flow gets no room, even at `best`. Only if `may_limit`.
+    /// Whether `candidate` has no capacity for the flow outside that reserve. Always false unless
+    /// `may_limit`.
     is_limited: bool,
 }
 
 impl PacketCore {
-    /// Counts the requests that a host reports: this host dispatches for it.
+    /// Handles request events of a host for which this host is the dispatcher.
     ///
-    /// Replies that room has become free for wait in [`Self::take_dispatch_datagrams`].
-    pub fn heard_requests(&mut self, now: Instant, events: &[RequestEvent]) {
+    /// Ended requests may free capacity for waiting flows. The replies to those are returned by
+    /// [`Self::take_dispatch_datagrams`].
+    pub fn handle_request_events(&mut self, now: Instant, events: &[RequestEvent]) {
         self.detect_stall(now);
         for event in events {
             match *event {
                 RequestEvent::Began { flow, upstream } => {
                     if let Some(index) = self.upstreams.by_tag(upstream) {
                         let service = self.upstreams.get(index).service;
-                        self.dispatch.heard_request(now, service);
+                        self.dispatch.record_report(now, service);
                         self.dispatch.ledger.begin(now, flow, index);
                     }
                 }
@@ -61,7 +63,7 @@
         self.serve_waiting(now);
     }
 
-    /// Replies to flows that waited: those for which there is room now, and those whose time is over.
+    /// Queues the replies to waiting flows that can be placed now or have waited too long.
     pub(crate) fn serve_waiting(&mut self, now: Instant) {
         if self.dispatch.waiting.is_empty() {
             return;
@@ -70,14 +72,14 @@
             let verdict = self.limit_verdict(flow.service);
             self.queue_reply(flow.from, flow.query.flow, verdict);
         }
-        for place in 0..self.upstreams.pools().len() {
-            let service = place as ServiceIndex;
+        for index in 0..self.upstreams.pools().len() {
+            let service = index as ServiceIndex;
             while let Some(flow) = self.dispatch.waiting.next(service).cloned() {
-                let room = self.find_room(now, service, &flow.query);
-                let Some(room) = room.filter(|room| !room.is_limited) else {
+                let placement = self.find_placement(now, service, &flow.query);
+                let Some(placement) = placement.filter(|placement| !placement.is_limited) else {
                     break;
                 };
-                let verdict = self.place_flow(now, service, &flow.query, room.best);
+                let verdict = self.place_flow(now, service, &flow.query, placement.candidate);
                 self.dispatch.waiting.remove(flow.query.flow);
                 self.queue_reply(flow.from, flow.query.flow, verdict);
             }
@@ -89,8 +91,8 @@
         self.dispatch.replies.push((target, reply));
     }
 
-    /// Replies to a host's query.
-    pub fn heard_query(
+    /// Handles a host's query and returns the reply.
+    pub fn handle_query(
         &mut self,
         now: Instant,
         from: SocketAddrV4,
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Decides as a dispatcher.
+    /// Returns the verdict on a query. It is `Unknown` while this host cannot decide: it does not
+    /// know the service, has not learned its requests yet, or has no usable upstream.
     pub(crate) fn dispatch_verdict(
         &mut self,
         now: Instant,
@@ -116,48 +119,49 @@
         let Some(service) = self.service_by_tag(query.service) else {
             return DispatchVerdict::Unknown;
         };
-        if !self.dispatch.knows_requests(now, service) {
+        if !self.dispatch.has_learned_requests(now, service) {
             return DispatchVerdict::Unknown;
         }
-        let Some(room) = self.find_room(now, service, query) else {
+        let Some(placement) = self.find_placement(now, service, query) else {
             return DispatchVerdict::Unknown;
         };
-        if room.may_limit {
+        if placement.may_limit {
             let demand = self.dispatch.demand(service);
-            demand.limited.record(room.is_limited);
+            demand.limited.record(placement.is_limited);
         }
-        if !room.is_limited || !query.may_refuse {
-            return self.place_flow(now, service, query, room.best);
+        if !placement.is_limited || !query.may_refuse {
+            return self.place_flow(now, service, query, placement.candidate);
         }
-        if query.hold_ms > 0 && self.waits_for_room(now, from, service, query) {
+        if query.hold_ms > 0 && self.add_waiting_flow(now, from, service, query) {
             return DispatchVerdict::Wait;
         }
         self.limit_verdict(service)
     }
 
-    /// The room for a flow; `None` if no upstream may get it.
-    fn find_room(
+    /// Selects the least loaded upstream of a sample for a flow, or of all upstreams if that one
+    /// has no free capacity. Returns `None` if no upstream is usable.
+    fn find_placement(
         &mut self,
         now: Instant,
         service: ServiceIndex,
         query: &DispatchQuery,
-    ) -> Option<FlowRoom> {
+    ) -> Option<FlowPlacement> {
         self.dispatch.ledger.expire_placements(now);
-        let most = self.upstreams.config().selection.max_sampled;
+        let max_sampled = self.upstreams.config().selection.max_sampled;
         let config = self.upstreams.config().dispatch;
-        let mut best = self.least_loaded(now, service, query, most)?;
+        let mut candidate = self.least_loaded(now, service, query, max_sampled)?;
         let recent = &self.dispatch.demand(service).recent;
-        let reserve = kept_reserve(&config, recent.more_urgent(query.priority));
-        let limits = |best: &DispatchCandidate| {
-            reserve.is_some_and(|reserve| is_limited(&config, reserve, best))
+        let reserve = effective_reserve(&config, recent.more_urgent(query.priority));
+        let limits = |candidate: &DispatchCandidate| {
+            reserve.is_some_and(|reserve| is_limited(&config, reserve, candidate))
         };
-        if limits(&best) {
-            best = self.least_loaded(now, service, query, usize::MAX)?;
+        if limits(&candidate) {
+            candidate = self.least_loaded(now, service, query, usize::MAX)?;
         }
-        Some(FlowRoom {
-            is_limited: limits(&best),
+        Some(FlowPlacement {
+            is_limited: limits(&candidate),
             may_limit: reserve.is_some(),
-            best,
+            candidate,
         })
     }
 
@@ -166,26 +170,27 @@
         now: Instant,
         service: ServiceIndex,
         query: &DispatchQuery,
-        best: DispatchCandidate,
+        candidate: DispatchCandidate,
     ) -> DispatchVerdict {
         let demand = self.dispatch.demand(service);
         demand.recent.record(query.priority);
-        self.dispatch.ledger.place(now, query.flow, best.index);
-        let tag = self.upstreams.get(best.index).tag;
+        self.dispatch.ledger.place(now, query.flow, candidate.index);
+        let tag = self.upstreams.get(candidate.index).tag;
         tag.map_or(DispatchVerdict::Unknown, DispatchVerdict::Place)
     }
 
-    /// What becomes of a flow without room: a rush that lasts is not over when the SYN is sent again.
+    /// Returns the verdict on a flow that finds no free capacity. It is refused once many flows are
+    /// limited: an overload that lasts will not be over when the SYN is retransmitted.
     fn limit_verdict(&mut self, service: ServiceIndex) -> DispatchVerdict {
-        let most = self.upstreams.config().dispatch.most_deferred;
-        match self.dispatch.demand(service).limited.share() < most {
+        let max_deferred = self.upstreams.config().dispatch.max_deferred_share;
+        match self.dispatch.demand(service).limited.share() < max_deferred {
             true => DispatchVerdict::Defer,
             false => DispatchVerdict::Refuse,
         }
     }
 
-    /// Lets a flow wait for room; false if too many wait already.
-    fn waits_for_room(
+    /// Adds a flow to those that wait for free capacity. Returns false if too many wait already.
+    fn add_waiting_flow(
         &mut self,
         now: Instant,
         from: SocketAddrV4,
@@ -194,7 +199,7 @@
     ) -> bool {
         let local = self.upstreams.pool(service).local.iter();
         let slots = local.map(|index| self.upstreams.get(*index).slots).sum();
-        let hold = query.hold_ms.min(MOST_HOLD_MS);
+        let hold = query.hold_ms.min(MAX_HOLD_MS);
         let flow = WaitingFlow {
             from,
             service,
@@ -204,16 +209,16 @@
         self.dispatch.waiting.add(flow, slots)
     }
 
-    /// The least loaded of so many of the zone's upstreams.
+    /// Returns the least loaded usable upstream of a sample of the zone's upstreams.
     fn least_loaded(
         &self,
         now: Instant,
         service: ServiceIndex,
         query: &DispatchQuery,
-        most: usize,
+        max_sampled: usize,
     ) -> Option<DispatchCandidate> {
         let local = &self.upstreams.pool(service).local;
-        let sampled = sample(local, u64::from(query.flow), most);
+        let sampled = sample(local, u64::from(query.flow), max_sampled);
         let mut records = sampled.clone().map(|index| self.upstreams.get(index));
         let panic = records.any(UpstreamRecord::is_degraded) && self.is_panic(service);
         let usable = sampled.filter(|index| {
@@ -248,12 +253,12 @@
 
     fn service_by_tag(&self, tag: ServiceTag) -> Option<ServiceIndex> {
         let mut pools = self.upstreams.pools().iter();
-        let place = pools.position(|pool| pool.tag == tag)?;
-        ServiceIndex::try_from(place).ok()
+        let index = pools.position(|pool| pool.tag == tag)?;
+        ServiceIndex::try_from(index).ok()
     }
 
-    /// Whether an upstream gets new flows of a service. So many may be ejected that the fault is likely on this host's
-    /// path; their ejection is then ignored, as in the selection.
+    /// Whether an upstream may get new flows of a service. With `panic`, ejections are ignored: so
+    /// many upstreams are ejected that the fault is likely on this host's own path.
     pub(crate) fn is_dispatchable(
         &self,
         index: UpstreamIndex,
--- a/packet/src/core_events.rs
+++ b/packet/src/core_events.rs
@@ -1,11 +1,11 @@
-//! How a core words its decisions for logs and metrics.
+//! Adds events about decisions of a core to its output, for logs and metrics.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use lagoonproxy::ids::ZoneName;
 
-use crate::admission::opening_admission::OpeningQuery;
+use crate::admission::syn_deferral::SynDeferralQuery;
 use crate::ids::UpstreamIndex;
 use crate::packet_action::DecisionEvent;
 use crate::packet_action::PacketOutput;
@@ -17,7 +17,7 @@
 use crate::state::store_position::StorePosition;
 
 impl PacketCore {
-    pub(crate) fn record_outcome(&self, outcome: &MergeOutcome, output: &mut PacketOutput) {
+    pub(crate) fn record_merge(&self, outcome: &MergeOutcome, output: &mut PacketOutput) {
         if let Some(version) = outcome.regressed {
             output
                 .events
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(crate) fn record_rejected(&self, update: &StateUpdate, output: &mut PacketOutput) {
+    pub(crate) fn record_rejected_update(&self, update: &StateUpdate, output: &mut PacketOutput) {
         output.events.push(DecisionEvent::UpdateRejected {
             whole: update.whole,
             offered: update.through,
@@ -38,7 +38,12 @@
         });
     }
 
-    pub(crate) fn record_era(&self, before: StorePosition, whole: bool, output: &mut PacketOutput) {
+    pub(crate) fn record_era_change(
+        &self,
+        before: StorePosition,
+        whole: bool,
+        output: &mut PacketOutput,
+    ) {
         output.events.push(DecisionEvent::EraChanged {
             before,
             through: self.view.through(),
@@ -63,7 +68,7 @@
             upstream: record.name.clone(),
             zone: record.zone.clone(),
             flows: record.flows,
-            heard_ago: heard_ago(now, record.silence.last_response()),
+            heard_ago: time_since(now, record.silence.last_response()),
             hedged,
             dispatched,
             version: self.version,
@@ -74,7 +79,7 @@
         &self,
         head: &PacketHead,
         best: UpstreamIndex,
-        opening: OpeningQuery,
+        opening: SynDeferralQuery,
         output: &mut PacketOutput,
     ) {
         output.events.push(DecisionEvent::Deferred {
@@ -101,7 +106,7 @@
             service: head.service,
             upstream: record.name.clone(),
             waited,
-            heard_ago: heard_ago(now, record.silence.last_response()),
+            heard_ago: time_since(now, record.silence.last_response()),
             attempts: record.silence.attempts(),
         });
     }
@@ -142,12 +147,12 @@
             change,
             attempts: record.silence.attempts(),
             answers: record.answers.counts(),
-            heard_ago: heard_ago(now, record.silence.last_response()),
+            heard_ago: time_since(now, record.silence.last_response()),
             through: self.view.through(),
         });
     }
 }
 
-fn heard_ago(now: Instant, sign: Option<Instant>) -> Option<Duration> {
-    sign.map(|sign| now.saturating_duration_since(sign))
+fn time_since(now: Instant, last_response: Option<Instant>) -> Option<Duration> {
+    last_response.map(|last_response| now.saturating_duration_since(last_response))
 }
--- a/packet/src/core_load.rs
+++ b/packet/src/core_load.rs
@@ -1,4 +1,4 @@
-//! How a core shares the load of contended services, and admits their SYNs.
+//! Exchanges load reports with peers, and admits SYNs of contended services by priority class.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -6,56 +6,58 @@
 use lagoonproxy::result_code::ResultCode;
 
 use crate::admission::admission_state::SynArrival;
-use crate::admission::class_admission::SynVerdict;
-use crate::flows::flow_evidence::CopySeen;
+use crate::admission::class_admission::SynDecision;
 use crate::flows::flow_table::FlowKey;
+use crate::flows::flow_tracker::SynObservations;
 use crate::ids::ServiceIndex;
 use crate::ids::UpstreamIndex;
 use crate::load::load_report::LoadDigest;
 use crate::load::load_report::LoadReport;
-use crate::load::load_view::AddressedDatagram;
-use crate::load::load_view::LoadView;
-use crate::load::load_view::RequestEnd;
-use crate::load::load_view::SynOutcome;
-use crate::load::service_room::ServiceRoom;
+use crate::load::load_state::ContentionState;
+use crate::load::load_tracker::AddressedDatagram;
+use crate::load::load_tracker::LoadTracker;
+use crate::load::load_tracker::RequestEnd;
+use crate::load::load_tracker::SynOutcome;
 use crate::packet_action::DecisionEvent;
 use crate::packet_action::PacketAction;
 use crate::packet_action::PacketOutput;
 use crate::packet_core::PacketCore;
 use crate::packet_head::PacketHead;
 use crate::routes::route_table::RequestClass;
-use crate::selection::room_weight::known_in_progress;
+use crate::selection::load_weight::estimated_in_progress;
 
-/// A SYN for which an upstream was selected.
+/// A SYN with its selected upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SelectedSyn<'a> {
     pub(crate) head: &'a PacketHead,
     pub(crate) flow_hash: u64,
     pub(crate) service: ServiceIndex,
-    pub(crate) room: ServiceRoom,
-    pub(crate) copy: &'a CopySeen,
+    pub(crate) room: ContentionState,
+    /// The earlier SYNs of the flow through this host.
+    pub(crate) observations: &'a SynObservations,
     pub(crate) upstream: UpstreamIndex,
     pub(crate) has_free_slot: bool,
-    /// The dispatcher of the service has selected the upstream, and admitted its class.
+    /// Whether the dispatcher has decided: the SYN's class is not checked again.
     pub(crate) is_dispatched: bool,
 }
 
 impl PacketCore {
-    /// What is known of the load of services.
-    pub fn load(&self) -> &LoadView {
+    /// The load of services, as this host has measured and learned it.
+    pub fn load(&self) -> &LoadTracker {
         &self.load
     }
 
-    /// Updates what is known of load. To be called several times a second.
+    /// Updates load, spill and admission. To be called several times a second.
     pub(crate) fn tick_load(&mut self, now: Instant, output: &mut PacketOutput) {
         self.load
             .tick(now, &self.peers, &mut self.upstreams, &mut output.events);
-        self.upstreams.learn_loads(self.evidence.costs());
+        self.upstreams.learn_loads(self.flow_tracker.costs());
         self.tick_spill(now, output);
         self.admission.tick(now);
     }
 
-    /// Whether a SYN may be placed now; carries out the refusal or deferral otherwise. Always true in calm.
+    /// Whether a SYN may be placed now. Otherwise adds its deferral or refusal to the output.
+    /// Always true for services that are not contended.
     pub(crate) fn admits_class(
         &mut self,
         now: Instant,
@@ -84,31 +86,31 @@
             room: syn.room,
             class,
             copy: head.ack,
-            // A SYN that was parked may be handed in after the caller's next one, which may have opened the flow
-            // through another host.
-            placed_before: !syn.copy.tried.is_empty() || self.dispatch.is_resumed,
+            // By the time a parked SYN is resumed, the caller may have sent the next one and opened
+            // the flow through another host.
+            placed_before: !syn.observations.tried.is_empty() || self.dispatch.is_resumed,
             has_free_slot: syn.has_free_slot,
             target: self.routes.target(head.service),
             timeout: self.routes.timeout(head.service),
         };
-        let (_query, verdict) = self.admission.judge(now, &arrival);
+        let (_query, verdict) = self.admission.evaluate(now, &arrival);
         let outcome = match verdict {
-            SynVerdict::Admit => SynOutcome::Placed,
-            SynVerdict::Defer(_) => SynOutcome::Deferred,
-            SynVerdict::Refuse(_) => SynOutcome::Refused,
+            SynDecision::Admit => SynOutcome::Placed,
+            SynDecision::Defer(_) => SynOutcome::Deferred,
+            SynDecision::Refuse(_) => SynOutcome::Refused,
         };
         self.load.record_syn(now, service, class, head.ack, outcome);
         let (action, code) = match verdict {
-            SynVerdict::Admit => return true,
-            SynVerdict::Defer(code) => (PacketAction::Drop { code }, code),
-            SynVerdict::Refuse(code) => (PacketAction::Reset { acked: 0, code }, code),
+            SynDecision::Admit => return true,
+            SynDecision::Defer(code) => (PacketAction::Drop { code }, code),
+            SynDecision::Refuse(code) => (PacketAction::Reset { acked: 0, code }, code),
         };
         output.actions.push(action);
         self.record_class_limit(now, syn, class, code, output);
         false
     }
 
-    /// Counts and records that the dispatcher has deferred or refused a SYN.
+    /// Counts a SYN that the dispatcher has deferred or refused, and adds the event to the output.
     pub(crate) fn record_dispatch_limit(
         &mut self,
         now: Instant,
@@ -127,19 +129,19 @@
         self.record_class_limit(now, syn, class, code, output);
     }
 
-    /// Whether a second upstream gets a SYN too. While the service is contended, hedges are taken from a budget;
-    /// probes are not.
-    pub(crate) fn admits_second(
+    /// Whether a SYN is sent to a second upstream as well. While the service is contended, hedges
+    /// are taken from a budget; probes are not.
+    pub(crate) fn admits_hedge(
         &mut self,
         now: Instant,
-        room: ServiceRoom,
+        room: ContentionState,
         second: UpstreamIndex,
     ) -> bool {
         let is_probe = self.upstreams.get(second).silence.wants_probe(now);
         !room.is_contended || is_probe || self.admission.spend_hedge()
     }
 
-    /// Records the end of a request on a flow.
+    /// Records how a request ended.
     pub(crate) fn record_request(
         &mut self,
         now: Instant,
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The datagrams about load that are due; none in calm.
+    /// Returns the load datagrams that are due; none while no service is contended.
     pub fn due_load_datagrams(&mut self, now: Instant) -> Vec<AddressedDatagram> {
         let mut due = self.load.due_datagrams(now, &self.peers, &self.upstreams);
         self.add_zones(now, &mut due);
@@ -163,16 +165,16 @@
         due
     }
 
-    /// Merges a host's report on load.
-    pub fn heard_load(&mut self, now: Instant, from: SocketAddrV4, report: &LoadReport) {
-        self.load.heard_report(now, from, report);
+    /// Merges a host's load report.
+    pub fn handle_load_report(&mut self, now: Instant, from: SocketAddrV4, report: &LoadReport) {
+        self.load.merge_report(now, from, report);
     }
 
-    /// Merges a digest of the zone's load.
-    pub fn heard_digest(&mut self, now: Instant, from: SocketAddrV4, digest: &LoadDigest) {
-        self.load.heard_digest(now, from, digest);
+    /// Merges an aggregator's digest of the zone's load.
+    pub fn handle_digest(&mut self, now: Instant, from: SocketAddrV4, digest: &LoadDigest) {
+        self.load.handle_digest(now, from, digest);
         self.spill
-            .heard_digest(now, from, digest.sequence, digest.reporters, &digest.zones);
+            .handle_digest(now, from, digest.sequence, digest.reporters, &digest.zones);
     }
 
     fn record_class_limit(
@@ -197,7 +199,7 @@
             code,
             deferred,
             upstream: record.name.clone(),
-            in_progress: known_in_progress(room_config, record, now, local_hosts),
+            in_progress: estimated_in_progress(room_config, record, now, local_hosts),
             room: syn.room,
             age: updated_at.map(|at| now.saturating_duration_since(at)),
             version: self.version,
--- a/packet/src/core_peers.rs
+++ b/packet/src/core_peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and failure reports of a core.
+//! Sends and merges heartbeats and failure reports.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::peers::peer_heartbeat::FailureReport;
 use crate::peers::peer_heartbeat::PeerHeartbeat;
 
-/// Shortest interval of failure reports.
+/// Shortest interval between failure reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A heartbeat and its targets.
@@ -18,21 +18,21 @@
 pub struct AddressedHeartbeat {
     /// The heartbeat.
     pub heartbeat: PeerHeartbeat,
-    /// Where it is sent.
+    /// The peers to send it to.
     pub targets: Vec<SocketAddrV4>,
 }
 
-/// The replies to a heartbeat.
+/// The result of merging a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatReplies {
-    /// The peer was not heard before.
+    /// Whether the peer was unknown before.
     pub is_new: bool,
-    /// To be sent at once.
+    /// Replies, to be sent at once.
     pub heartbeats: Vec<AddressedHeartbeat>,
 }
 
 impl PacketCore {
-    /// Merges a peer's heartbeat.
+    /// Merges a peer's heartbeat and returns the replies to it.
     pub fn heard(
         &mut self,
         now: Instant,
@@ -44,7 +44,8 @@
         let replies = heard.hellos.into_iter().map(|target| {
             let zone = self.peers.zone_of(target);
             let mut heartbeat = self.heartbeat_for(now, &zone, stopping);
-            // A reply asks for none: two hosts that both seek peers would reply to each other without end.
+            // A reply must not ask for a reply: two hosts that both seek peers would reply to each
+            // other endlessly.
             heartbeat.seeks = false;
             let targets = vec![target];
             AddressedHeartbeat { heartbeat, targets }
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The heartbeats to send now; none between rounds.
+    /// Returns the heartbeats that are due; none between rounds.
     pub fn round(&mut self, now: Instant, stopping: bool) -> Vec<AddressedHeartbeat> {
         let lacks_state = self.view.through().is_unread();
         let Some(round) = self.peers.round(now, self.role.reads(), lacks_state) else {
@@ -63,12 +64,12 @@
         };
         let zone = self.zone.clone();
         let heartbeat = self.heartbeat_for(now, &zone, stopping);
-        let led = AddressedHeartbeat {
+        let remaining_local = AddressedHeartbeat {
             heartbeat: heartbeat.short_heartbeat(),
-            targets: round.led,
+            targets: round.remaining_local,
         };
         let targets = round.local;
-        let mut heartbeats = vec![led, AddressedHeartbeat { heartbeat, targets }];
+        let mut heartbeats = vec![remaining_local, AddressedHeartbeat { heartbeat, targets }];
         for (zone, targets) in round.remote {
             let heartbeat = self.heartbeat_for(now, &zone, stopping);
             heartbeats.push(AddressedHeartbeat { heartbeat, targets });
@@ -77,8 +78,9 @@
         heartbeats
     }
 
-    /// What this host says of itself to hosts of a zone; an empty name if their zone is not known.
-    /// Hosts of other zones do not look at the upstreams of this one, and bytes between zones have a price.
+    /// Returns the heartbeat for hosts of a zone; the name is empty if their zone is not known.
+    /// Hosts of other zones get no upstream reports: they do not use them, and bytes between zones
+    /// have a price.
     pub fn heartbeat_for(
         &mut self,
         now: Instant,
@@ -88,31 +90,32 @@
         let is_local = *zone == self.zone;
         PeerHeartbeat {
             zone: self.zone.clone(),
-            reads: self.role.reads() && self.in_touch && !stopping,
+            reads: self.role.reads() && self.store_reachable && !stopping,
             capacity: self.capacity,
             ready: self.is_ready() && !stopping,
             seeks: self.view.through().is_unread() || self.peers.seeks(now),
             through: self.view.through(),
             version: self.view.query().version,
             reader: self.peers.reader(now, zone),
-            named: self.peers.some_of(now, zone),
-            others: self.peers.some_others(now, zone),
+            named: self.peers.sample_peers_in(now, zone),
+            others: self.peers.sample_peers_outside(now, zone),
             reports: is_local.then(|| self.upstreams.reports(now)),
         }
     }
 
-    /// A short heartbeat for the own zone, between rounds.
+    /// Returns a short heartbeat for hosts of the own zone, to send between rounds.
     pub fn short_heartbeat(&mut self, now: Instant, stopping: bool) -> PeerHeartbeat {
         let zone = self.zone.clone();
         self.heartbeat_for(now, &zone, stopping).short_heartbeat()
     }
 
-    /// The failure reports that are due and their targets; `None` if no request has failed since the last.
+    /// Returns the failure reports that are due and their targets; `None` if no request has failed
+    /// since the last reports, or if those were sent less than 200 ms ago.
     pub fn due_failure_reports(
         &mut self,
         now: Instant,
     ) -> Option<(Vec<FailureReport>, Vec<SocketAddrV4>)> {
-        let failures = self.evidence.failures();
+        let failures = self.flow_tracker.failures();
         if failures == self.failures_reported || self.next_report.is_some_and(|next| now < next) {
             return None;
         }
@@ -124,7 +127,7 @@
     }
 
     /// Merges a peer's failure reports.
-    pub fn heard_failures(&mut self, from: SocketAddrV4, reports: &[FailureReport]) {
-        self.peers.heard_failures(from, reports);
+    pub fn handle_failure_reports(&mut self, from: SocketAddrV4, reports: &[FailureReport]) {
+        self.peers.handle_failure_reports(from, reports);
     }
 }
--- a/packet/src/core_reading.rs
+++ b/packet/src/core_reading.rs
@@ -1,4 +1,4 @@
-//! How a core obtains and applies the published state, from the store or from peers.
+//! Obtains the published state from the store or from peers, and applies it.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::state::state_snapshot::StateChange;
 use crate::state::state_snapshot::StateQuery;
 use crate::state::state_snapshot::StateUpdate;
-use crate::state::state_source::ReadState;
+use crate::state::state_source::SyncState;
 use crate::state::store_feed::FeedStep;
 use crate::state::store_feed::ListPage;
 use crate::state::store_feed::StoreFault;
@@ -20,24 +20,25 @@
 use crate::upstreams::restored_upstreams::RestoredEntry;
 use crate::upstreams::upstream_record::RegistrationState;
 
-/// Interval at which a host that does not watch the store looks at its role.
-const ROLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a host that is not the reader of its zone checks whether it has become one.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl PacketCore {
-    /// Merges an update of the store or of a peer and applies it; true if it was new.
+    /// Merges an update from the store or a peer, and applies its changes. Returns true if it was
+    /// new.
     pub fn merge(&mut self, now: Instant, update: &StateUpdate, output: &mut PacketOutput) -> bool {
         let before = self.view.through();
         let had_state = !before.is_unread();
         let outcome = self.view.merge(update);
         if outcome.is_stale {
-            self.record_rejected(update, output);
+            self.record_rejected_update(update, output);
             return false;
         }
-        self.record_outcome(&outcome, output);
+        self.record_merge(&outcome, output);
         if outcome.crosses_era {
-            self.record_era(before, update.whole, output);
+            self.record_era_change(before, update.whole, output);
             self.upstreams.extend_lapses(now);
-            self.steady_since = None;
+            self.synced_since = None;
         }
         for change in &outcome.changes {
             if outcome.crosses_era {
@@ -54,16 +55,17 @@
                 upstreams: upstreams.count(),
                 through: self.view.through(),
             });
-            self.peers.advance_round();
+            self.peers.make_round_due();
         }
-        if self.steady_since.is_none() && self.view.is_complete() {
-            self.steady_since = Some(now);
+        if self.synced_since.is_none() && self.view.is_complete() {
+            self.synced_since = Some(now);
         }
         self.view.through() > before || !outcome.changes.is_empty()
     }
 
-    /// What the hosts of the zone are sent of an update that this host has just merged into the state of
-    /// `before`: the whole state of a later era as a delta, as most of them hold the state before it too.
+    /// Returns the update to forward to the hosts of the zone, after this host has merged `update`
+    /// into the state that `before` describes. The whole state of a later era is converted to a
+    /// delta, since most hosts of the zone hold the state before it too.
     pub fn forwarded_update(&self, update: StateUpdate, before: &StateQuery) -> StateUpdate {
         if update.whole && before.after.is_before_era_of(update.through) {
             self.view.update_since(before)
@@ -72,42 +74,46 @@
         }
     }
 
-    /// What to do at the store now.
+    /// Returns what to do at the store now.
     pub fn store_step(&mut self, now: Instant) -> FeedStep {
         if self.view.through().is_unread() {
             let has_seeds = self.peers.has_seeds();
             return self.first_step(now, has_seeds);
         }
         if !self.role.reads() {
-            let until = now + ROLE_INTERVAL;
+            let until = now + ROLE_CHECK_INTERVAL;
             return FeedStep::Wait { until };
         }
-        self.feed.skip_to(self.view.through());
+        self.feed.advance_to(self.view.through());
         self.feed.next_step(now)
     }
 
-    /// What to do at the store while no state is held.
+    /// Returns what to do at the store while this host holds no state.
     fn first_step(&mut self, now: Instant, has_seeds: bool) -> FeedStep {
-        if let Some(until) = self.start.waits_until(now, has_seeds) {
+        if let Some(until) = self.start.list_deferred_until(now, has_seeds) {
             return FeedStep::Wait { until };
         }
-        let look_after = self.start.look_after(has_seeds);
+        let progress_check_after = self.start.progress_check_after(has_seeds);
         match self.feed.next_step(now) {
-            FeedStep::List { after, .. } => FeedStep::List { after, look_after },
+            FeedStep::List { after, .. } => FeedStep::List {
+                after,
+                progress_check_after,
+            },
             step => step,
         }
     }
 
-    /// Elects the watcher of the zone anew; only a host with a state takes part.
+    /// Updates whether this host is the reader of its zone. A host that holds no state cannot
+    /// become the reader.
     pub(crate) fn decide_role(&mut self, now: Instant, output: &mut PacketOutput) {
         self.role.begin(now);
         if self.view.through().is_unread() {
             return;
         }
-        let change = self.role.decide(now, &self.peers, self.in_touch);
+        let change = self.role.decide(now, &self.peers, self.store_reachable);
         if let Some(change) = change {
             self.feed.pause();
-            self.in_touch = false;
+            self.store_reachable = false;
             output.events.push(DecisionEvent::Role {
                 change,
                 reader: self.zone_reader(now),
@@ -117,17 +123,20 @@
         }
     }
 
-    /// Whether this host watches the store for its zone.
+    /// Whether this host is the reader of its zone, which reads the store and forwards changes.
     pub fn reads(&self) -> bool {
         self.role.reads()
     }
 
-    /// Another host of the zone that watches the store, by its heartbeats.
+    /// Returns another host of the zone whose heartbeats say that it is the reader.
     pub fn zone_reader(&self, now: Instant) -> Option<SocketAddrV4> {
         self.peers.reader(now, &self.zone)
     }
 
-    /// Accepts a page of the store's list; the update once the list is complete.
+    /// Accepts a page of the store's list. Returns the update once the list is complete.
+    ///
+    /// Fails if the page is of another era than the pages before it, or of an earlier state than
+    /// the position from which the store refused a watch.
     pub fn store_listed(
         &mut self,
         now: Instant,
@@ -139,6 +148,8 @@
     }
 
     /// Accepts the events of a watch.
+    ///
+    /// Fails if they are of another era than the watched position.
     pub fn store_changed(
         &mut self,
         now: Instant,
@@ -149,16 +160,16 @@
         Ok(update)
     }
 
-    /// Records that a call of the store failed.
+    /// Records that a call to the store failed.
     pub fn store_failed(&mut self, now: Instant, fault: &StoreFault) {
-        self.steady_since = None;
+        self.synced_since = None;
         self.feed.failed(now, fault);
         if fault.needs_list() {
             return;
         }
-        self.in_touch = false;
-        if *fault == StoreFault::Crowded {
-            self.start.yielded(now);
+        self.store_reachable = false;
+        if *fault == StoreFault::ListTooSlow {
+            self.start.list_abandoned(now);
         } else {
             self.role.store_lost(now);
         }
@@ -166,30 +177,31 @@
 
     /// Records that the store responds.
     pub fn store_answered(&mut self, now: Instant) {
-        self.in_touch = true;
+        self.store_reachable = true;
         if self.view.is_complete() {
-            self.steady_since.get_or_insert(now);
+            self.synced_since.get_or_insert(now);
         }
     }
 
-    /// The peer to ask now for a newer state.
+    /// Returns the peer to request a newer state from now, if any.
     pub fn source(&mut self, now: Instant) -> Option<SocketAddrV4> {
         let source = self
             .peers
-            .source(now, &self.view.query(), self.read_state());
+            .source(now, &self.view.query(), self.sync_state());
         if source.is_some() {
             self.start.asked(now);
         }
         source
     }
 
-    /// Records that a peer gave no state; `busy` if it serves others at present.
+    /// Records that a peer returned no state. `busy` means that it serves too many other hosts.
     pub fn source_failed(&mut self, now: Instant, peer: SocketAddrV4, busy: bool) {
         self.start.refused(now);
         self.peers.source_failed(now, peer, busy);
     }
 
-    /// The hosts to which the zone's watcher forwards changes.
+    /// Returns the hosts to which this host forwards changes: those of its zone if it is the
+    /// reader, otherwise none.
     pub fn followers(&self, now: Instant) -> Vec<SocketAddrV4> {
         if self.role.reads() {
             self.peers.local_addresses(now)
@@ -198,20 +210,21 @@
         }
     }
 
-    /// A host that does not watch the store knows by its watcher whether the store responds.
+    /// Updates since when the state of a host that is not the reader has been in sync: since the
+    /// zone has had a reader without interruption.
     pub(crate) fn follow_reader(&mut self, now: Instant) {
         if self.role.reads() || !self.view.is_complete() {
             return;
         }
         if self.peers.has_reader(now) {
-            self.steady_since.get_or_insert(now);
+            self.synced_since.get_or_insert(now);
         } else {
-            self.steady_since = None;
+            self.synced_since = None;
         }
     }
 
-    /// Applies a change. The registrations of a first state are one event: hundreds of log lines would
-    /// displace all others at the start.
+    /// Applies a change. The registrations of the first state (`had_state` is false) add no events:
+    /// hundreds of log lines would displace all others at the start.
     fn apply(
         &mut self,
         now: Instant,
@@ -234,7 +247,7 @@
                 let faults = config.field_faults.iter().cloned();
                 output.events.extend(faults.map(|fault| {
                     let version = config.version;
-                    DecisionEvent::RouteField { version, fault }
+                    DecisionEvent::RouteFieldIgnored { version, fault }
                 }));
             }
             StateChange::Upstream(entry) => {
@@ -264,8 +277,9 @@
         }
     }
 
-    /// Applies a change that comes with a later era. What the store no longer lists may have been lost and is
-    /// written again; what it lists may be older than what an upstream said last.
+    /// Applies a change of a later era, in which the store was restored from a backup. An item that
+    /// the store no longer lists may have been lost and be written again; a registration that it
+    /// lists may be older than the upstream's last one.
     fn apply_restored(&mut self, now: Instant, change: &StateChange, output: &mut PacketOutput) {
         match change {
             StateChange::Upstream(entry) => {
@@ -287,13 +301,13 @@
         }
     }
 
-    fn read_state(&self) -> ReadState {
+    fn sync_state(&self) -> SyncState {
         let has_state = !self.view.through().is_unread();
-        match (has_state, self.in_touch, self.role.reads()) {
-            (false, false, _) => ReadState::Empty,
-            (false, true, _) => ReadState::Listing,
-            (true, _, true) => ReadState::Reading,
-            (true, _, false) => ReadState::Following,
+        match (has_state, self.store_reachable, self.role.reads()) {
+            (false, false, _) => SyncState::Empty,
+            (false, true, _) => SyncState::Listing,
+            (true, _, true) => SyncState::Reading,
+            (true, _, false) => SyncState::Following,
         }
     }
 }
--- a/packet/src/core_spill.rs
+++ b/packet/src/core_spill.rs
@@ -1,4 +1,4 @@
-//! What a core hands to the spill to other zones, and the datagrams that pass between zones.
+//! Passes the load of this zone to the spill policy, and exchanges load with other zones.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -6,11 +6,11 @@
 use lagoonproxy::ids::ZoneName;
 
 use crate::ids::ServiceIndex;
-use crate::load::load_view::AddressedDatagram;
-use crate::load::service_room::REQUEST_LOAD;
+use crate::load::load_state::REQUEST_LOAD;
+use crate::load::load_tracker::AddressedDatagram;
+use crate::load::zone_load::SpilledRequests;
 use crate::load::zone_load::ZoneLoadReport;
-use crate::load::zone_load::ZoneVisit;
-use crate::load::zone_load::pressure_of;
+use crate::load::zone_load::slot_pressure_or_max;
 use crate::packet_action::PacketOutput;
 use crate::packet_core::PacketCore;
 use crate::peers::peer_datagram::PeerDatagram;
@@ -20,7 +20,7 @@
 use crate::upstreams::upstream_record::UpstreamRecord;
 
 impl PacketCore {
-    /// What is known of other zones, and what leaves for them.
+    /// The load of other zones, and the shares of new flows that leave for them.
     pub fn spill(&self) -> &ZoneSpill {
         &self.spill
     }
@@ -36,7 +36,7 @@
         self.spill.tick(now, input, &mut output.events);
     }
 
-    /// The reports to other zones that are due; none while no service is contended.
+    /// Returns the reports to other zones that are due; none while no service is contended.
     pub(crate) fn due_zone_reports(&mut self, now: Instant) -> Vec<AddressedDatagram> {
         let services = self.spill_loads(now);
         let input = SpillInput {
@@ -47,18 +47,18 @@
         self.spill.due_datagrams(now, input, &self.peers)
     }
 
-    /// Adds what is known of other zones to the digests that are due.
+    /// Adds the load of other zones to the digests that are due.
     pub(crate) fn add_zones(&self, now: Instant, due: &mut [AddressedDatagram]) {
         for addressed in due {
             if let PeerDatagram::Digest(digest) = &mut addressed.datagram {
                 digest.zones = self.spill.entries(now, &self.spill_loads(now));
-                digest.shorten(&self.upstreams.config().exchange);
+                digest.truncate_to_fit(&self.upstreams.config().exchange);
             }
         }
     }
 
-    /// Merges another zone's load; returns the reply that it asks for.
-    pub fn heard_zone_load(
+    /// Merges the load of another zone, and returns the reply if the sender wants one.
+    pub fn handle_zone_load(
         &mut self,
         now: Instant,
         from: SocketAddrV4,
@@ -70,8 +70,8 @@
         let services = 0..self.upstreams.pools().len() as ServiceIndex;
         let is_wanted = |service: &ServiceIndex| {
             let tag = self.upstreams.pool(*service).tag;
-            let is_asked = report.services.iter().any(|load| load.service == tag);
-            is_asked || self.load.room(now, *service).is_contended
+            let is_reported = report.services.iter().any(|load| load.service == tag);
+            is_reported || self.load.room(now, *service).is_contended
         };
         let services = services.filter(is_wanted);
         let loads: Vec<LocalLoad> = services
@@ -84,7 +84,7 @@
         })
     }
 
-    /// The services that are contended, and those of which flows leave; none in calm.
+    /// Returns the load of the services that are contended or from which flows leave the zone.
     fn spill_loads(&self, now: Instant) -> Vec<LocalLoad> {
         let services = 0..self.upstreams.pools().len() as ServiceIndex;
         let is_wanted = |service: &ServiceIndex| {
@@ -97,8 +97,8 @@
             .collect()
     }
 
-    /// The load of one service in this zone: from the digest if there is one, otherwise this host's own counts
-    /// times the number of hosts.
+    /// Returns the load of a service in this zone: from the digest if there is one, otherwise this
+    /// host's own counts times the number of hosts.
     fn local_load(&self, now: Instant, service: ServiceIndex) -> LocalLoad {
         let pool = self.upstreams.pool(service);
         let room = self.load.room(now, service);
@@ -119,12 +119,12 @@
             None => counted,
         };
         let mut responding: Vec<ZoneName> = Vec::new();
-        let mut sent: Vec<ZoneVisit> = Vec::new();
+        let mut sent: Vec<SpilledRequests> = Vec::new();
         for record in records(&pool.remote) {
             if !responding.contains(&record.zone) {
                 responding.push(record.zone.clone());
             }
-            add_visit(&mut sent, record, hosts);
+            add_spilled_requests(&mut sent, record, hosts);
         }
         LocalLoad {
             index: service,
@@ -134,7 +134,7 @@
             in_progress,
             pressure: match slots {
                 0 => 0,
-                _ => room.pressure.max(pressure_of(in_progress, slots)),
+                _ => room.pressure.max(slot_pressure_or_max(in_progress, slots)),
             },
             is_contended: room.is_contended,
             objective: self.routes.service_target(service),
@@ -144,8 +144,8 @@
     }
 }
 
-/// Adds what this zone's callers have in progress at an upstream of another zone.
-fn add_visit(sent: &mut Vec<ZoneVisit>, record: &UpstreamRecord, hosts: u32) {
+/// Adds the requests that this zone has in progress at an upstream of another zone to `sent`.
+fn add_spilled_requests(sent: &mut Vec<SpilledRequests>, record: &UpstreamRecord, hosts: u32) {
     let counted = record.requests(hosts).saturating_mul(hosts);
     let in_progress = match record.load.updated_at {
         Some(_) => record.load.in_progress,
@@ -156,7 +156,7 @@
     }
     match sent.iter_mut().find(|visit| visit.zone == record.zone) {
         Some(visit) => visit.in_progress = visit.in_progress.saturating_add(in_progress),
-        None => sent.push(ZoneVisit {
+        None => sent.push(SpilledRequests {
             zone: record.zone.clone(),
             in_progress,
         }),
--- a/packet/src/core_warmup.rs
+++ b/packet/src/core_warmup.rs
@@ -1,4 +1,4 @@
-//! Which warming upstreams get their flows through this host.
+//! Claims warming upstreams: each gets its new flows through one host of the zone.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::routes::route_config::RouteConfig;
 
 impl PacketCore {
-    /// Applies the limits of a configuration.
+    /// Applies the warm-up limits of a configuration.
     pub(crate) fn apply_warmups(&mut self, config: &RouteConfig) {
         let tolerance = self.warmup_tolerance;
         let limits = config.warmups.iter().filter_map(|warmup| {
@@ -17,8 +17,9 @@
         self.upstreams.set_warmup_limits(limits);
     }
 
-    /// Decides anew which warming upstreams this host claims: none before each host of its zone has
-    /// had time to learn of it, for a host that knows few others would claim too many.
+    /// Updates which warming upstreams this host claims. It claims none until it has held a state
+    /// long enough to have exchanged heartbeats with each host of its zone, since a host that knows
+    /// few others would claim too many.
     pub(crate) fn claim_warmups(&mut self, now: Instant) {
         if !self.upstreams.has_warmup_limits() {
             return;
--- a/packet/src/dispatch/dispatch_client.rs
+++ b/packet/src/dispatch/dispatch_client.rs
@@ -1,4 +1,5 @@
-//! A host's side of dispatching: queries that wait for their reply, and events that are to be sent.
+//! The host side of dispatching: queries that wait for a reply, and request events to be sent to
+//! dispatchers.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -7,67 +8,71 @@
 use foldhash::HashMap;
 
 use crate::dispatch::dispatch_message::DispatchVerdict;
-use crate::dispatch::dispatch_message::MOST_EVENTS;
-use crate::dispatch::dispatch_message::MOST_HOLD_MS;
+use crate::dispatch::dispatch_message::MAX_EVENTS_PER_DATAGRAM;
+use crate::dispatch::dispatch_message::MAX_HOLD_MS;
 use crate::dispatch::dispatch_message::RequestEvent;
 use crate::flows::flow_table::FlowKey;
 use crate::ids::FlowDigest;
 
-/// How long a SYN waits for a reply before this host decides alone. Hosts of a zone answer within a
-/// millisecond, small ones that use up their share of a core within some.
+/// How long a SYN waits for a reply before this host decides alone. Hosts of a zone reply within a
+/// millisecond; small ones that have used up their CPU share reply within several milliseconds.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// How long after its query a reply still decides. A host without processor time hands a SYN in later; its caller
-/// has then sent the next one (after 200 ms), which may have opened the flow through another host.
-const REPLY_LIFE: Duration = Duration::from_millis(180);
+/// Time after the query until which a reply is followed. A host that gets no CPU time resumes a
+/// parked SYN late; by then its caller has retransmitted (after 200 ms), and the retransmission may
+/// have opened the flow through another host.
+const REPLY_LIFETIME: Duration = Duration::from_millis(180);
 
-/// How long after [`REPLY_TIMEOUT`] a query is kept for its SYN. A process that pauses longer was stalled.
-const QUERY_LIFE: Duration = Duration::from_millis(400);
+/// How long a query is kept after its timeout for its SYN to be resumed. A process that pauses for
+/// longer counts as stalled.
+const QUERY_LIFETIME: Duration = Duration::from_millis(400);
 
-/// Most SYNs that wait at a time; further ones are decided alone.
-const MOST_PENDING: usize = 1024;
+/// Maximum number of SYNs waiting at a time. This host decides alone about further ones.
+const MAX_PENDING_QUERIES: usize = 1024;
 
-/// Most events that wait to be sent; further ones are not reported, and their requests expire at the dispatcher.
-const MOST_WAITING: usize = 4096;
+/// Maximum number of events waiting to be sent. Further ones are not reported, and their requests
+/// expire at the dispatcher.
+const MAX_PENDING_EVENTS: usize = 4096;
 
-/// A query.
+/// A query sent to a dispatcher.
 #[derive(Clone, Copy, Debug)]
 struct PendingQuery {
     key: FlowKey,
     dispatcher: SocketAddrV4,
-    /// When this host decides alone.
+    /// When the query times out and this host decides alone.
     expires_at: Instant,
-    /// When a reply no longer decides.
-    outdated_at: Instant,
+    /// From when a reply is no longer followed.
+    invalid_at: Instant,
     verdict: Option<DispatchVerdict>,
 }
 
-/// What became of a flow's query.
+/// State of a flow's query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryState {
-    /// There is none.
+    /// The flow has no query.
     Absent,
-    /// Its reply may still come.
+    /// The reply is outstanding.
     Waiting,
-    /// It was replied to; it is removed.
+    /// The dispatcher has replied. The query has been removed.
     Replied(DispatchVerdict),
-    /// It was replied to, but its SYN is too old for the reply; it is removed.
+    /// The dispatcher has replied, but the SYN is too old for the reply to be followed. The query
+    /// has been removed.
     Outdated,
-    /// No reply came in time; it is removed.
+    /// This dispatcher has not replied in time. The query has been removed.
     TimedOut(SocketAddrV4),
 }
 
-/// The queries and events of this host.
+/// The pending queries and events of this host.
 #[derive(Debug, Default)]
 pub struct DispatchClient {
-    /// At most [`MOST_PENDING`].
+    /// Holds at most [`MAX_PENDING_QUERIES`].
     queries: HashMap<FlowDigest, PendingQuery>,
-    /// At most [`MOST_WAITING`], oldest first.
+    /// Holds at most [`MAX_PENDING_EVENTS`], oldest first.
     events: Vec<(SocketAddrV4, RequestEvent)>,
 }
 
 impl DispatchClient {
-    /// Records a query; false if too many wait already.
+    /// Records a query. Returns false if too many are pending.
     pub fn ask(
         &mut self,
         now: Instant,
@@ -75,22 +80,23 @@
         flow: FlowDigest,
         dispatcher: SocketAddrV4,
     ) -> bool {
-        if self.queries.len() >= MOST_PENDING {
+        if self.queries.len() >= MAX_PENDING_QUERIES {
             return false;
         }
         let query = PendingQuery {
             key,
             dispatcher,
             expires_at: now + REPLY_TIMEOUT,
-            outdated_at: now + REPLY_LIFE,
+            invalid_at: now + REPLY_LIFETIME,
             verdict: None,
         };
         self.queries.insert(flow, query);
         true
     }
 
-    /// Records a reply; the flow that waits for it, and until when it goes on waiting, unless it comes from somebody
-    /// else or too late.
+    /// Records a reply. Returns the flow that waits for it and the time at which its SYN is to be
+    /// resumed, or `None` if there is no such query or the reply comes from a host that was not
+    /// asked.
     pub fn reply(
         &mut self,
         now: Instant,
@@ -103,20 +109,20 @@
             return None;
         }
         if verdict == DispatchVerdict::Wait {
-            query.expires_at = now + Duration::from_millis(MOST_HOLD_MS.into()) + REPLY_TIMEOUT;
+            query.expires_at = now + Duration::from_millis(MAX_HOLD_MS.into()) + REPLY_TIMEOUT;
             return Some((query.key, query.expires_at));
         }
         query.verdict = Some(verdict);
         Some((query.key, now))
     }
 
-    /// What became of a flow's query.
+    /// Returns the state of a flow's query, and removes the query unless it is still waiting.
     pub fn take(&mut self, now: Instant, flow: FlowDigest) -> QueryState {
         let Some(query) = self.queries.get(&flow).copied() else {
             return QueryState::Absent;
         };
         let state = match query.verdict {
-            Some(_verdict) if now >= query.outdated_at => QueryState::Outdated,
+            Some(_verdict) if now >= query.invalid_at => QueryState::Outdated,
             Some(verdict) => QueryState::Replied(verdict),
             None if now < query.expires_at => return QueryState::Waiting,
             None => QueryState::TimedOut(query.dispatcher),
@@ -125,31 +131,31 @@
         state
     }
 
-    /// Removes queries whose SYN was not handed in again.
+    /// Removes queries whose SYN was never resumed.
     pub fn expire(&mut self, now: Instant) {
-        let late = |query: &PendingQuery| now >= query.expires_at + QUERY_LIFE;
-        self.queries.retain(|_flow, query| !late(query));
+        let is_abandoned = |query: &PendingQuery| now >= query.expires_at + QUERY_LIFETIME;
+        self.queries.retain(|_flow, query| !is_abandoned(query));
     }
 
-    /// Records an event for a dispatcher.
+    /// Queues an event for a dispatcher. Drops it if `MAX_PENDING_EVENTS` are queued.
     pub fn report(&mut self, dispatcher: SocketAddrV4, event: RequestEvent) {
-        if self.events.len() < MOST_WAITING {
+        if self.events.len() < MAX_PENDING_EVENTS {
             self.events.push((dispatcher, event));
         }
     }
 
-    /// Whether events wait to be sent.
+    /// Returns whether events are waiting to be sent.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// The events to send, by dispatcher, at most [`MOST_EVENTS`] each.
+    /// Takes the events to send, in batches of at most [`MAX_EVENTS_PER_DATAGRAM`] per dispatcher.
     pub fn take_events(&mut self) -> Vec<(SocketAddrV4, Vec<RequestEvent>)> {
         let mut batches: Vec<(SocketAddrV4, Vec<RequestEvent>)> = Vec::new();
         for (dispatcher, event) in self.events.drain(..) {
-            let open = batches
-                .iter_mut()
-                .find(|(address, batch)| *address == dispatcher && batch.len() < MOST_EVENTS);
+            let open = batches.iter_mut().find(|(address, batch)| {
+                *address == dispatcher && batch.len() < MAX_EVENTS_PER_DATAGRAM
+            });
             match open {
                 Some((_address, batch)) => batch.push(event),
                 None => batches.push((dispatcher, vec![event])),
--- a/packet/src/dispatch/dispatch_message.rs
+++ b/packet/src/dispatch/dispatch_message.rs
@@ -1,4 +1,4 @@
-//! What hosts of a zone and the dispatcher of a contended service send each other.
+//! Messages between the hosts of a zone and the dispatcher of a contended service.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,69 +9,71 @@
 use crate::ids::ServiceTag;
 use crate::routes::route_config::RequestPriority;
 
-/// Most events in a datagram: it stays below 1,400 bytes.
-pub const MOST_EVENTS: usize = 96;
+/// Maximum number of events in a datagram. Keeps it below 1,400 bytes.
+pub const MAX_EVENTS_PER_DATAGRAM: usize = 96;
 
-/// Most upstreams that a query excludes.
-pub const MOST_EXCLUDED: usize = 8;
+/// Maximum number of upstreams that a query excludes.
+pub const MAX_EXCLUDED: usize = 8;
 
-/// Longest time that a flow waits for room, in milliseconds: below the time after which callers send a SYN again.
-pub const MOST_HOLD_MS: HoldMillis = 150;
+/// Maximum time that a flow waits for free capacity, in milliseconds. Callers retransmit a SYN
+/// after 200 ms.
+pub const MAX_HOLD_MS: HoldMillis = 150;
 
-/// A request of an open flow has gone to its upstream, or has ended.
+/// Start or end of a request on an open flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestEvent {
-    /// It was forwarded.
+    /// The request was forwarded to its upstream.
     Began {
-        /// Its flow.
+        /// The flow of the request.
         flow: FlowDigest,
         /// The tag of the flow's upstream.
         upstream: FlowTag,
     },
-    /// Its response began, or its caller has given up.
+    /// The response has begun, or the caller has given up.
     Ended {
-        /// Its flow.
+        /// The flow of the request.
         flow: FlowDigest,
     },
 }
 
-/// Asks where a new flow is to be placed.
+/// Asks a dispatcher where to place a new flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DispatchQuery {
     /// The flow.
     pub flow: FlowDigest,
-    /// Its service.
+    /// The service of the flow.
     pub service: ServiceTag,
-    /// How urgent its request is.
+    /// The priority of the flow's request.
     pub priority: RequestPriority,
     /// Whether the flow may be refused: none of its SYNs has gone to an upstream.
     pub may_refuse: bool,
-    /// How long the flow may wait for room, in milliseconds; at most [`MOST_HOLD_MS`].
+    /// How long the flow may wait for free capacity, in milliseconds; at most [`MAX_HOLD_MS`].
     pub hold_ms: HoldMillis,
-    /// Upstreams that an earlier SYN of the flow went to; at most [`MOST_EXCLUDED`].
+    /// Upstreams that an earlier SYN of the flow went to; at most [`MAX_EXCLUDED`].
     pub excluded: Vec<FlowTag>,
 }
 
-/// The reply to a query.
+/// A dispatcher's reply to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DispatchReply {
     /// The flow.
     pub flow: FlowDigest,
-    /// What becomes of it.
+    /// The decision about the flow.
     pub verdict: DispatchVerdict,
 }
 
-/// Where a new flow goes.
+/// A dispatcher's decision about a new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchVerdict {
-    /// To this upstream.
+    /// Place the flow on this upstream.
     Place(FlowTag),
-    /// Nowhere yet: it waits for room, and another reply follows.
+    /// Keep the SYN parked until an upstream has free capacity; another reply follows.
     Wait,
-    /// Nowhere now: no upstream has room for its class, and one may have when the SYN is sent again.
+    /// Drop the SYN: no upstream has capacity for the flow's priority class now, but one may have
+    /// when the caller retransmits.
     Defer,
-    /// Nowhere: no upstream has room for its class.
+    /// Refuse the flow: no upstream has capacity for its priority class.
     Refuse,
-    /// The dispatcher does not know enough; the host that asked decides.
+    /// The dispatcher lacks the data to decide; the host that asked decides alone.
     Unknown,
 }
--- a/packet/src/dispatch/dispatcher_choice.rs
+++ b/packet/src/dispatch/dispatcher_choice.rs
@@ -1,8 +1,8 @@
-//! Decides which host of the zone dispatches a service.
+//! Selects the dispatcher of each service among the hosts of the zone.
 //!
-//! The dispatchers of a zone are its hosts with the most capacity, and rendezvous hashing spreads services over
-//! them. Hosts may disagree for some seconds: each dispatcher then counts a part of the requests, and no flow depends
-//! on it.
+//! The hosts with the most capacity are dispatchers, and rendezvous hashing spreads the services
+//! over them. Hosts may disagree for some seconds: each dispatcher then counts only a part of the
+//! requests, which affects no open flow.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,34 +13,36 @@
 use crate::ids::ServiceTag;
 use crate::peers::peer_table::PeerTable;
 
-/// Queries without a reply, one after another, after which a dispatcher is skipped. One may be lost.
-const MISSED_REPLIES: u32 = 3;
+/// Consecutive queries without a reply after which a dispatcher is skipped. A single datagram may
+/// be lost.
+const MAX_MISSED_REPLIES: u32 = 3;
 
 /// How long a dispatcher that does not reply is skipped.
-const SKIP_TIME: Duration = Duration::from_secs(2);
+const SKIP_DURATION: Duration = Duration::from_secs(2);
 
-/// Most dispatchers whose replies are watched.
-const MOST_WATCHED: usize = 8;
+/// Maximum number of dispatchers tracked.
+const MAX_TRACKED: usize = 8;
 
-/// A dispatcher that was asked.
+/// A dispatcher that has left queries without a reply.
 #[derive(Clone, Copy, Debug)]
-struct WatchedDispatcher {
+struct UnresponsiveDispatcher {
     address: SocketAddrV4,
     /// Queries without a reply since the last reply.
-    missed: u32,
-    /// Until when it is not asked; `None` if it may be.
+    missed_replies: u32,
+    /// End of the time during which no queries are sent to it; `None` if it is not skipped.
     skipped_until: Option<Instant>,
 }
 
-/// The replies of dispatchers, and who is skipped.
+/// Selects dispatchers, and skips those that do not reply.
 #[derive(Debug, Default)]
 pub struct DispatcherChoice {
-    /// Those that left queries without a reply.
-    watched: ArrayVec<WatchedDispatcher, MOST_WATCHED>,
+    /// The dispatchers that have left queries without a reply, oldest first.
+    unresponsive: ArrayVec<UnresponsiveDispatcher, MAX_TRACKED>,
 }
 
 impl DispatcherChoice {
-    /// The dispatcher of a service; this host itself if no other has more capacity.
+    /// Returns the dispatcher of a service. That is this host itself if no usable one has more
+    /// capacity.
     pub fn choose(
         &self,
         now: Instant,
@@ -53,46 +55,48 @@
         peers.largest_of(usable, own_capacity, u64::from(service))
     }
 
-    /// Records a reply.
+    /// Records a reply of a dispatcher.
     pub fn replied(&mut self, address: SocketAddrV4) {
-        self.watched.retain(|watched| watched.address != address);
+        self.unresponsive.retain(|entry| entry.address != address);
     }
 
-    /// Records a query without a reply in time; true if the dispatcher is skipped from now.
+    /// Records that a query timed out. Returns true if the dispatcher is skipped from now on.
     pub fn missed(&mut self, now: Instant, address: SocketAddrV4) -> bool {
-        let is_over =
-            |watched: &WatchedDispatcher| watched.skipped_until.is_some_and(|until| until <= now);
-        self.watched
-            .retain(|watched| watched.address == address || !is_over(watched));
-        let known = self
-            .watched
+        let is_expired =
+            |entry: &UnresponsiveDispatcher| entry.skipped_until.is_some_and(|until| until <= now);
+        self.unresponsive
+            .retain(|entry| entry.address == address || !is_expired(entry));
+        let tracked = self
+            .unresponsive
             .iter_mut()
-            .find(|watched| watched.address == address);
-        let Some(watched) = known else {
-            let watched = WatchedDispatcher {
+            .find(|entry| entry.address == address);
+        let Some(entry) = tracked else {
+            let entry = UnresponsiveDispatcher {
                 address,
-                missed: 1,
+                missed_replies: 1,
                 skipped_until: None,
             };
-            // The oldest one is most likely gone: a dispatcher that lives replies, and leaves the list.
-            if self.watched.is_full() {
-                self.watched.remove(0);
+            // The oldest entry most likely belongs to a host that has left: a live dispatcher
+            // replies and its entry is removed.
+            if self.unresponsive.is_full() {
+                self.unresponsive.remove(0);
             }
-            self.watched.push(watched);
+            self.unresponsive.push(entry);
             return false;
         };
-        watched.missed += 1;
-        if watched.missed < MISSED_REPLIES || watched.skipped_until.is_some_and(|until| now < until)
+        entry.missed_replies += 1;
+        if entry.missed_replies < MAX_MISSED_REPLIES
+            || entry.skipped_until.is_some_and(|until| now < until)
         {
             return false;
         }
-        watched.skipped_until = Some(now + SKIP_TIME);
+        entry.skipped_until = Some(now + SKIP_DURATION);
         true
     }
 
     fn is_skipped(&self, now: Instant, address: SocketAddrV4) -> bool {
-        self.watched.iter().any(|watched| {
-            watched.address == address && watched.skipped_until.is_some_and(|until| now < until)
+        self.unresponsive.iter().any(|entry| {
+            entry.address == address && entry.skipped_until.is_some_and(|until| now < until)
         })
     }
 }
--- a/packet/src/dispatch/mod.rs
+++ b/packet/src/dispatch/mod.rs
@@ -1,4 +1,5 @@
-//! Placement of a contended service's new flows by one host of the zone, which counts its requests in progress.
+//! Dispatching: one host of the zone places the new flows of a contended service and counts the
+//! service's requests in progress.
 
 pub mod dispatch_client;
 pub mod dispatch_message;
--- a/packet/src/dispatch/request_ledger.rs
+++ b/packet/src/dispatch/request_ledger.rs
@@ -1,4 +1,5 @@
-//! The requests in progress at a service's upstreams, as the hosts of the zone report them one by one.
+//! Counts the requests in progress on a service's upstreams, from events reported by the hosts of
+//! the zone.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,46 +10,50 @@
 use crate::ids::FlowDigest;
 use crate::ids::UpstreamIndex;
 
-/// Most requests that are counted at a time; at 24 bytes a request 0.8 MB. Further ones are not counted.
-const MOST_REQUESTS: usize = 32_768;
+/// Maximum number of requests counted at a time; 0.8 MB at 24 bytes each. Further ones are not
+/// counted.
+const MAX_REQUESTS: usize = 32_768;
 
-/// How long a request counts that nobody reports as ended: the report was lost, or its host has died.
-const REQUEST_LEASE: Duration = Duration::from_secs(2);
+/// Time after which a request is no longer counted if its end was not reported. The event may have
+/// been lost, or the host that sends it may have failed.
+const REQUEST_LIFETIME: Duration = Duration::from_secs(2);
 
-/// How long a placed flow counts before its first request is reported. A caller needs two round trips for that.
-const PLACEMENT_LEASE: Duration = Duration::from_millis(30);
+/// Time for which a placed flow counts as a request before its first request is reported. A caller
+/// needs two round trips to send it.
+const PLACEMENT_LIFETIME: Duration = Duration::from_millis(30);
 
-/// One request, or a placed flow whose first request is expected.
+/// A request, or a placed flow whose first request is expected.
 #[derive(Clone, Copy, Debug)]
 struct LedgerEntry {
     upstream: UpstreamIndex,
     expires_at: Instant,
 }
 
-/// Requests in progress by upstream.
+/// Requests in progress by flow, counted by upstream.
 #[derive(Debug, Default)]
 pub struct RequestLedger {
     entries: HashMap<FlowDigest, LedgerEntry>,
-    /// Entries by the place of the upstream; each equals the number of its `entries`.
+    /// Number of entries by upstream index. Always equals the number of `entries` of that upstream.
     counts: Vec<u32>,
-    /// Placed flows in the order of their expiry.
+    /// Placed flows, ordered by expiry time.
     placements: VecDeque<(Instant, FlowDigest)>,
 }
 
 impl RequestLedger {
-    /// Requests in progress at an upstream.
+    /// Returns the requests in progress on an upstream.
     pub fn in_progress(&self, index: UpstreamIndex) -> u32 {
         self.counts.get(index as usize).copied().unwrap_or(0)
     }
 
-    /// Records that a request has gone to an upstream. A flow has one request at a time.
+    /// Records that a request was forwarded to an upstream. A flow has at most one request at a
+    /// time.
     pub fn begin(&mut self, now: Instant, flow: FlowDigest, upstream: UpstreamIndex) {
-        self.insert(flow, upstream, now + REQUEST_LEASE);
+        self.insert(flow, upstream, now + REQUEST_LIFETIME);
     }
 
-    /// Records that a flow was placed, ahead of its first request.
+    /// Records that a flow was placed; it counts as a request until its first request is reported.
     pub fn place(&mut self, now: Instant, flow: FlowDigest, upstream: UpstreamIndex) {
-        let expires_at = now + PLACEMENT_LEASE;
+        let expires_at = now + PLACEMENT_LIFETIME;
         self.insert(flow, upstream, expires_at);
         self.placements.push_back((expires_at, flow));
     }
@@ -60,7 +65,7 @@
         }
     }
 
-    /// Ends placed flows whose request did not come.
+    /// Removes placed flows whose first request was not reported in time.
     pub fn expire_placements(&mut self, now: Instant) {
         while let Some((expires_at, flow)) = self.placements.front().copied()
             && expires_at <= now
@@ -73,7 +78,8 @@
         }
     }
 
-    /// Ends requests whose end was not reported in time. To be called several times a second.
+    /// Removes requests whose end was not reported in time. Has to be called several times a
+    /// second.
     pub fn expire_requests(&mut self, now: Instant) {
         self.expire_placements(now);
         let counts = &mut self.counts;
@@ -86,21 +92,21 @@
         });
     }
 
-    /// Whether nothing is counted.
+    /// Returns whether no requests are counted.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
     fn insert(&mut self, flow: FlowDigest, upstream: UpstreamIndex, expires_at: Instant) {
         self.end(flow);
-        if self.entries.len() >= MOST_REQUESTS {
+        if self.entries.len() >= MAX_REQUESTS {
             return;
         }
-        let place = upstream as usize;
-        if self.counts.len() <= place {
-            self.counts.resize(place + 1, 0);
+        let position = upstream as usize;
+        if self.counts.len() <= position {
+            self.counts.resize(position + 1, 0);
         }
-        self.counts[place] += 1;
+        self.counts[position] += 1;
         let entry = LedgerEntry {
             upstream,
             expires_at,
--- a/packet/src/flows/flow_load.rs
+++ b/packet/src/flows/flow_load.rs
@@ -1,74 +1,74 @@
-//! Active and idle flows: which of them count as load at their upstreams.
+//! Counts flows as load at their upstreams while they are active.
 //!
-//! Load pattern: all hosts of a zone come back at once. The fabric hands flows to the first that is
-//! ready, moves them to the others as it notices those, and callers give up at their deadlines without
-//! a word. The first host sees no end of any of these flows. Counted until their idle time (12 s),
-//! most of them as waiting, they make its own zone look full and the others empty, to every host at
-//! the same time: most new flows leave their zone, each zone's callers for another one, until that time is
-//! over.
+//! When all hosts of a zone return at once, the fabric first sends flows to the first ready host
+//! and then moves them to the others, and callers give up at their deadlines without closing their
+//! flows. The first host does not see these flows end. If it counted them until their idle timeout
+//! (12 s), most of them as waiting, it would report its own zone as full and the others as empty.
+//! All hosts would then send most new flows out of their zone for that time.
 //!
-//! So a flow is active while it has packets. After several times the usual pause of its route it is idle: it
-//! keeps its record, counts no longer, and is active again with its next packet.
+//! A flow is therefore active while it has packets. After several times the usual pause of its
+//! route it becomes idle: it keeps its record but no longer counts, until its next packet makes it
+//! active again.
 
+use crate::flows::flow_table::FlowActivity;
 use crate::flows::flow_table::FlowRecord;
-use crate::flows::flow_table::FlowUsage;
-use crate::flows::flow_table::OpeningRecord;
+use crate::flows::flow_table::HalfOpenFlow;
 use crate::upstreams::upstream_table::UpstreamTable;
 
-/// A request has gone out.
+/// Counts a flow whose caller now waits for a response.
 pub fn begin_waiting(record: &FlowRecord, upstreams: &mut UpstreamTable) {
     upstreams.get_mut(record.upstream).waiting += 1;
 }
 
-/// An answer has come, or nobody waits for one any more.
+/// Stops counting a flow as waiting, after a response or when it no longer counts.
 pub fn stop_waiting(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
     let waited = record.waiting_since.take().is_some();
-    if waited && record.usage == FlowUsage::Active {
+    if waited && record.activity == FlowActivity::Active {
         upstreams.get_mut(record.upstream).waiting -= 1;
     }
 }
 
-/// An active flow has had no packet for longer than is usual on its route.
-pub fn become_idle(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
-    record.usage = FlowUsage::Idle;
+/// Marks an active flow as idle, after a pause that is longer than usual on its route.
+pub fn mark_idle(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
+    record.activity = FlowActivity::Idle;
     let upstream = upstreams.get_mut(record.upstream);
     upstream.flows -= 1;
     upstream.idle += 1;
     upstream.waiting -= u32::from(record.waiting_since.is_some());
 }
 
-/// An idle flow has a packet.
-pub fn become_active(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
-    if record.usage != FlowUsage::Idle {
+/// Marks an idle flow as active, upon a packet. Has no effect on other flows.
+pub fn mark_active(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
+    if record.activity != FlowActivity::Idle {
         return;
     }
-    record.usage = FlowUsage::Active;
+    record.activity = FlowActivity::Active;
     let upstream = upstreams.get_mut(record.upstream);
     upstream.flows += 1;
     upstream.idle -= 1;
     upstream.waiting += u32::from(record.waiting_since.is_some());
 }
 
-/// The caller has ended its stream.
-pub fn close(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
-    leave(record, upstreams);
-    record.usage = FlowUsage::Closing;
+/// Marks a flow as closing, after its caller has ended its stream.
+pub fn mark_closing(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
+    stop_counting(record, upstreams);
+    record.activity = FlowActivity::Closing;
 }
 
-/// The flow is forgotten.
-pub fn leave(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
+/// Stops counting a flow that is closing or removed.
+pub fn stop_counting(record: &mut FlowRecord, upstreams: &mut UpstreamTable) {
     stop_waiting(record, upstreams);
     let upstream = upstreams.get_mut(record.upstream);
-    match record.usage {
-        FlowUsage::Active => upstream.flows -= 1,
-        FlowUsage::Idle => upstream.idle -= 1,
-        FlowUsage::Closing => {}
+    match record.activity {
+        FlowActivity::Active => upstream.flows -= 1,
+        FlowActivity::Idle => upstream.idle -= 1,
+        FlowActivity::Closing => {}
     }
 }
 
-/// The SYNs of a flow no longer count: it has opened, or its caller has given up.
-pub fn release(opening: &OpeningRecord, upstreams: &mut UpstreamTable) {
-    for attempt in &opening.attempts {
+/// Stops counting the SYNs of a flow that is established or whose caller has given up.
+pub fn release_attempts(half_open_flow: &HalfOpenFlow, upstreams: &mut UpstreamTable) {
+    for attempt in &half_open_flow.attempts {
         let upstream = upstreams.get_mut(attempt.upstream);
         upstream.flows -= 1;
         upstream.opening -= 1;
--- a/packet/src/flows/flow_table.rs
+++ b/packet/src/flows/flow_table.rs
@@ -1,8 +1,10 @@
-//! The flows that this host carries packets of: evidence only, no packet depends on it.
+//! Table of the flows whose packets pass through this host. It serves observation only; forwarding
+//! does not depend on it.
 //!
-//! Any host forwards any packet of an open flow by its tag. What stands here says how many flows
-//! each upstream has and which wait for an answer; a host that forgets it loses evidence and
-//! breaks nothing. So the tables are bounded, and what does not fit is forwarded all the same.
+//! Any host can forward any packet of an established flow by its tag. The table provides the number
+//! of flows of each upstream and those waiting for a response. Losing an entry loses observations
+//! and breaks no flow. The tables are therefore bounded, and packets of flows that do not fit are
+//! forwarded without an entry.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -13,24 +15,25 @@
 use crate::ids::UpstreamIndex;
 use crate::packet_head::PacketHead;
 
-/// Most flows that are watched at a time. At 64 bytes a flow this is 4 MB, and three times what
-/// a host of the size aimed at carries (20,000).
-pub const MOST_FLOWS: usize = 65_536;
+/// Maximum number of tracked flows. At 64 bytes a flow this is 4 MB, and three times the 20,000
+/// flows that a host of the target size carries.
+pub const MAX_FLOWS: usize = 65_536;
 
-/// Most upstreams that copies of one opening packet go to: three copies, each beside one other.
-pub const MOST_TRIED: usize = 6;
+/// Maximum number of upstreams that the SYNs of one flow are sent to: three transmissions, each
+/// with one hedge.
+pub const MAX_TRIED_UPSTREAMS: usize = 6;
 
-/// The two ends of a flow.
+/// Caller and service address of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
-    /// The caller's end.
+    /// Address of the caller.
     pub caller: SocketAddrV4,
-    /// The service's end.
+    /// Address of the service.
     pub service: SocketAddrV4,
 }
 
 impl FlowKey {
-    /// The flow of a packet.
+    /// Returns the key of a packet's flow.
     pub fn of(head: &PacketHead) -> Self {
         Self {
             caller: head.caller,
@@ -39,77 +42,80 @@
     }
 }
 
-/// One upstream that an opening packet went to.
+/// A SYN sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OpeningAttempt {
-    /// The upstream.
+pub struct SynAttempt {
+    /// Upstream that the SYN was sent to.
     pub upstream: UpstreamIndex,
-    /// When the packet was sent there.
+    /// Time at which it was sent.
     pub sent: Instant,
 }
 
-/// A flow whose opening packet was placed and which no further packet has confirmed yet.
+/// A flow whose SYN was placed and that no further packet has confirmed yet.
 #[derive(Clone, Debug, Default)]
-pub struct OpeningRecord {
-    /// Where copies went, oldest first; each counts as a flow there.
-    pub attempts: ArrayVec<OpeningAttempt, MOST_TRIED>,
+pub struct HalfOpenFlow {
+    /// Upstreams that SYNs were sent to, oldest first. Each counts the flow.
+    pub attempts: ArrayVec<SynAttempt, MAX_TRIED_UPSTREAMS>,
 }
 
-/// What an open flow is to its upstream.
+/// Whether an established flow counts as load at its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FlowUsage {
-    /// It is in use, and counts.
+pub enum FlowActivity {
+    /// The flow is in use and counts.
     Active,
-    /// It was silent for longer than is usual on its route, and does not count until its next packet.
+    /// The flow has been silent for longer than usual on its route. It does not count until its
+    /// next packet.
     Idle,
-    /// Its caller has ended its stream; it no longer counts.
+    /// The caller has ended its stream. The flow no longer counts.
     Closing,
 }
 
-/// How far a flow's last request has been judged as served, failed or shed.
+/// Whether the last request of a flow has been classified as served, failed or shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestJudgement {
-    /// It has been, or there was none.
+pub enum RequestClassification {
+    /// The request has been classified, or there was none.
     Done,
-    /// It has not.
+    /// The request has not been classified.
     Pending,
-    /// It has not, and its answer began so soon that it may be a shed.
-    PendingPrompt,
+    /// The request has not been classified, and its response began so soon that it may be a shed.
+    PendingFastResponse,
 }
 
-/// An open flow.
+/// An established flow.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowRecord {
-    /// Its upstream.
+    /// Upstream of the flow.
     pub upstream: UpstreamIndex,
-    /// How far the caller has acknowledged the upstream's stream; only grows.
+    /// Sequence number up to which the caller has acknowledged the upstream's stream; never
+    /// decreases.
     pub acked: u32,
-    /// How far the caller has sent; only grows.
+    /// Sequence number up to which the caller has sent; never decreases.
     pub sent: u32,
-    /// When the last data went out that nothing has been received for since.
+    /// Time of the last data for which no response has been acknowledged; `None` if the caller is
+    /// not waiting.
     pub waiting_since: Option<Instant>,
-    /// Bytes of the answer to the last request that the caller has acknowledged, as far as they count.
-    pub answer_bytes: u16,
-    /// Whether there is a request on this flow that has not been judged as served, failed or shed.
-    pub judgement: RequestJudgement,
-    /// When the last packet came.
+    /// Acknowledged bytes of the response to the last request; saturates.
+    pub response_bytes: u16,
+    /// Whether the last request has been classified.
+    pub classification: RequestClassification,
+    /// Time of the last packet.
     pub last_seen: Instant,
-    /// Whether it counts at its upstream.
-    pub usage: FlowUsage,
+    /// Whether the flow counts as load at its upstream.
+    pub activity: FlowActivity,
 }
 
 impl FlowRecord {
-    /// Whether there is a request that has not been judged.
-    pub fn is_unjudged(&self) -> bool {
-        self.judgement != RequestJudgement::Done
+    /// Whether a request has not been classified yet.
+    pub fn is_unclassified(&self) -> bool {
+        self.classification != RequestClassification::Done
     }
 }
 
-/// The flows that are being opened, and those that are open.
+/// Half-open and established flows.
 #[derive(Debug, Default)]
 pub struct FlowTable {
-    /// Being opened; at most [`MOST_FLOWS`].
-    pub openings: HashMap<FlowKey, OpeningRecord>,
-    /// Open; at most [`MOST_FLOWS`].
+    /// Half-open flows; at most [`MAX_FLOWS`].
+    pub half_open: HashMap<FlowKey, HalfOpenFlow>,
+    /// Established flows; at most [`MAX_FLOWS`].
     pub flows: HashMap<FlowKey, FlowRecord>,
 }
--- a/packet/src/flows/moving_mean.rs
+++ b/packet/src/flows/moving_mean.rs
@@ -1,31 +1,31 @@
-//! A mean of durations that follows their change.
+//! A moving mean of durations.
 
 use std::time::Duration;
 
-/// Most durations that it is the mean of: 1 in 64 follows a change of the load within seconds, and is not
-/// moved by one caller that pauses.
-const MOST_WEIGHED: u64 = 64;
+/// Maximum number of durations that the mean covers. At 64, the mean follows a load change within
+/// seconds and one caller that pauses does not move it.
+const MAX_SAMPLES: u64 = 64;
 
 /// A moving mean of durations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MovingMean {
     /// In nanoseconds.
     mean: u64,
-    /// Durations that it is the mean of; at most [`MOST_WEIGHED`].
-    seen: u64,
+    /// Number of durations that the mean covers; at most [`MAX_SAMPLES`].
+    samples: u64,
 }
 
 impl MovingMean {
-    /// Records a duration.
-    pub fn learn(&mut self, duration: Duration) {
-        let nanos = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX / MOST_WEIGHED);
-        let others = self.mean * self.seen.min(MOST_WEIGHED - 1);
-        self.seen = (self.seen + 1).min(MOST_WEIGHED);
-        self.mean = (others + nanos) / self.seen;
+    /// Adds a duration.
+    pub fn record(&mut self, duration: Duration) {
+        let nanos = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX / MAX_SAMPLES);
+        let previous = self.mean * self.samples.min(MAX_SAMPLES - 1);
+        self.samples = (self.samples + 1).min(MAX_SAMPLES);
+        self.mean = (previous + nanos) / self.samples;
     }
 
-    /// The mean; `None` if it is the mean of less than `fewest`.
-    pub fn of_at_least(&self, fewest: u64) -> Option<Duration> {
-        (self.seen >= fewest).then_some(Duration::from_nanos(self.mean))
+    /// Returns the mean; `None` if it covers fewer than `min_samples` durations.
+    pub fn with_min_samples(&self, min_samples: u64) -> Option<Duration> {
+        (self.samples >= min_samples).then_some(Duration::from_nanos(self.mean))
     }
 }
--- a/packet/src/health/answer_record.rs
+++ b/packet/src/health/answer_record.rs
@@ -64,8 +64,8 @@
 
     fn is_failing(self, config: &OutlierConfig) -> bool {
         let all = u64::from(self.served) + u64::from(self.failed);
-        let share = u64::from(self.failed) * u64::from(config.failed_share);
-        self.failed >= config.fewest_failed && share >= all
+        let share = u64::from(self.failed) * u64::from(config.failure_divisor);
+        self.failed >= config.min_failures && share >= all
     }
 }
 
@@ -126,7 +126,7 @@
     }
 
     /// Judges the upstream anew; true if that changed the judgement.
-    pub fn judge(&mut self, config: &OutlierConfig, now: Instant) -> bool {
+    pub fn evaluate(&mut self, config: &OutlierConfig, now: Instant) -> bool {
         self.turn_over(now);
         let was_failing = self.is_failing();
         let counts = self.counts();
@@ -157,8 +157,8 @@
     /// Whether a response of this size is so short that it is taken for an error.
     pub fn is_short(&self, config: &OutlierConfig, bytes: u16) -> bool {
         let usual = self.shifted >> SIZE_SHIFT;
-        let (share, of) = config.short_share;
-        self.seen >= config.fewest_answers && u64::from(bytes) * of < usual * share
+        let (share, of) = config.short_response_ratio;
+        self.seen >= config.min_responses && u64::from(bytes) * of < usual * share
     }
 
     /// Records the size of a response, clamped to the largest that can be stored;
@@ -168,7 +168,7 @@
         let bytes = u64::from(bytes);
         let usual = self.shifted >> SIZE_SHIFT;
         self.seen += 1;
-        if self.seen <= config.fewest_answers {
+        if self.seen <= config.min_responses {
             let others = usual * (self.seen - 1);
             self.shifted = ((others + bytes) << SIZE_SHIFT) / self.seen;
         } else {
--- a/packet/src/health/failure_detector.rs
+++ b/packet/src/health/failure_detector.rs
@@ -66,8 +66,8 @@
     pub fn is_dead(&self, config: &DetectorConfig, now: Instant) -> bool {
         let long = self
             .silent_since
-            .is_some_and(|since| now.saturating_duration_since(since) >= config.dark_silence);
-        let enough = self.attempts >= config.dark_attempts && self.several_callers;
+            .is_some_and(|since| now.saturating_duration_since(since) >= config.min_dead_silence);
+        let enough = self.attempts >= config.dead_attempts && self.several_callers;
         self.is_ejected() && enough && long && self.is_fresh(config, now)
     }
 
@@ -81,7 +81,7 @@
     /// Whether the last attempt without an answer was seen of late.
     fn is_fresh(&self, config: &DetectorConfig, now: Instant) -> bool {
         self.last_failed
-            .is_some_and(|failed| now.saturating_duration_since(failed) <= config.dark_memory)
+            .is_some_and(|failed| now.saturating_duration_since(failed) <= config.attempt_lifetime)
     }
 
     /// Whether an ejected upstream is due for a probe.
@@ -91,7 +91,7 @@
 
     /// Records a probe.
     pub fn probe_sent(&mut self, config: &DetectorConfig, now: Instant) {
-        self.next_probe = Some(now + config.probe_pause);
+        self.next_probe = Some(now + config.probe_interval);
     }
 
     /// Records a response to this host; true if the upstream was ejected.
@@ -128,7 +128,7 @@
         sent: Instant,
         caller: SocketAddrV4,
     ) -> bool {
-        let too_soon = now.saturating_duration_since(sent) < config.soonest_repeat;
+        let too_soon = now.saturating_duration_since(sent) < config.min_retransmission_age;
         if too_soon || self.last_response.is_some_and(|sign| sign >= sent) {
             return false;
         }
@@ -140,7 +140,7 @@
         self.attempts += 1;
         self.last_failed = Some(now);
         self.silent_since = Some(self.silent_since.map_or(sent, |since| since.min(sent)));
-        if !self.is_ejected() && self.outlier.lost(config.silent_attempts) {
+        if !self.is_ejected() && self.outlier.lost(config.ejection_attempts) {
             self.outlier.eject(now, config.ejection);
             return true;
         }
--- a/packet/src/host_settings.rs
+++ b/packet/src/host_settings.rs
@@ -1,4 +1,4 @@
-//! What an entry host is told of itself and its surroundings at its start.
+//! The settings of an entry host.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 
 use crate::admission::warmup_admission::WarmupTolerance;
 
-/// The settings of one entry host, checked as a whole.
+/// The settings of one entry host. They have been validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostSettings {
     /// Name of the host, for logs.
     pub host: SmolStr,
     /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Every availability zone of the deployment that the platform names, this one included.
+    /// All availability zones of the deployment that the platform names, including the host's own.
     pub zones: Vec<ZoneName>,
-    /// Thousandths of a core that the host has.
+    /// CPU share of the host, in thousandths of a core.
     pub capacity: u32,
-    /// Where callers' packets arrive.
+    /// Address that receives callers' packets.
     pub packet_address: SocketAddrV4,
-    /// Where the fabric asks whether the host takes packets.
+    /// Address of the readiness endpoint, which the fabric polls.
     pub ready_address: SocketAddrV4,
-    /// Where peers reach this host: the first of the ports that are free for the system's own use,
-    /// the same on all hosts.
+    /// Address that receives peers' messages. Its port is the first of those reserved for internal
+    /// use, and the same on all hosts.
     pub peer_address: SocketAddrV4,
-    /// Peers that may be alive, as the platform names them at the start.
+    /// Peers that the platform names. They may be down.
     pub seed_peers: Vec<SocketAddrV4>,
-    /// Where the platform's store answers.
+    /// Address of the platform's store.
     pub store_address: SocketAddrV4,
-    /// Time between the request to stop and the end by force.
+    /// Time between the request to stop and a forced stop.
     pub stop_grace: Duration,
-    /// How far flows may exceed the rate of upstreams that warm up; `None` if not at all.
+    /// How far new flows may exceed the rate limit of warming upstreams; `None` if not at all.
     pub warmup_tolerance: Option<WarmupTolerance>,
-    /// Longest life of a flow; a former upstream is remembered as long.
-    pub flow_age: Duration,
+    /// Longest lifetime of a flow. Deregistered upstreams are kept for the same time.
+    pub max_flow_age: Duration,
 }
--- a/packet/src/lib.rs
+++ b/packet/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of an entry host that forwards packets: no sockets, clocks or threads.
+//! The decisions of an entry host that forwards packets, without sockets, clocks or threads.
 //!
-//! A fabric hands any packet of a flow to any entry host, and upstreams answer callers directly.
-//! [`packet_core`] is the public interface: packets, published state and ticks in, actions and events out.
+//! The fabric may deliver each packet of a flow to a different entry host, and upstreams respond
+//! to callers directly. [`packet_core`] is the public interface: it takes packets, published state
+//! and ticks, and returns actions and events.
 
 pub mod admission;
 mod core_dispatch;
--- a/packet/src/load/aggregator_choice.rs
+++ b/packet/src/load/aggregator_choice.rs
@@ -1,63 +1,67 @@
-//! Decides which host of the zone this host reports its load to.
+//! Selects the host of the zone that aggregates this host's load reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::load::load_view::LoadExchangeConfig;
+use crate::load::load_tracker::LoadExchangeConfig;
 use crate::peers::peer_table::PeerTable;
 
-/// Key of the rendezvous weights of hosts with the same capacity.
+/// Rendezvous hashing key that selects the aggregator among hosts of equal capacity.
 const AGGREGATOR_KEY: u64 = 0x10ad;
 
-/// The host that this host reports to, and those that it skips.
+/// The current aggregator and the hosts that are temporarily excluded from the selection.
 #[derive(Debug, Default)]
 pub struct AggregatorChoice {
-    /// The host, and since when it was reported to without a break.
+    /// Address of the aggregator and the start of its uninterrupted selection.
     chosen: Option<(SocketAddrV4, Instant)>,
-    /// Failed aggregators, and until when each is skipped.
+    /// Failed aggregators and the end of the exclusion of each.
     skipped: BTreeMap<SocketAddrV4, Instant>,
 }
 
 impl AggregatorChoice {
-    /// The host that is reported to.
+    /// Returns the current aggregator; `None` while this host has nothing to report.
     pub fn chosen(&self) -> Option<SocketAddrV4> {
         self.chosen.map(|(address, _since)| address)
     }
 
-    /// Forgets whom it reports to: there is nothing to report.
+    /// Drops the current aggregator because this host has nothing to report.
     pub fn clear(&mut self) {
         self.chosen = None;
     }
 
-    /// The chosen host, which was not skipped, so that its digests come: it is alive, even if heartbeats of it were
-    /// lost. In a large zone they come seldom.
-    fn kept(&self, peers: &PeerTable) -> Option<(SocketAddrV4, u32)> {
+    /// Returns the current aggregator and its capacity if it is ready. It still sends digests,
+    /// otherwise it would be excluded, so that it is alive even if its heartbeats were lost.
+    /// Heartbeats between two hosts of a large zone are rare.
+    fn current_candidate(&self, peers: &PeerTable) -> Option<(SocketAddrV4, u32)> {
         let (address, _since) = self.chosen?;
         let peer = peers.peers.get(&address).filter(|peer| peer.ready)?;
         Some((address, peer.capacity))
     }
 
-    /// The live, ready host with the most capacity that is not skipped. `heard` is when a host's last digest came;
-    /// an aggregator without one for `silence` is skipped.
+    /// Returns the live, ready host with the most capacity that is not excluded, possibly this
+    /// host. `last_digest_at` returns the arrival of a host's last digest. An aggregator without a
+    /// digest for `digest_timeout` is excluded for [`LoadExchangeConfig::skip_time`].
     pub fn choose(
         &mut self,
         now: Instant,
         config: &LoadExchangeConfig,
         peers: &PeerTable,
         own_capacity: u32,
-        silence: Duration,
-        heard: impl Fn(SocketAddrV4) -> Option<Instant>,
+        digest_timeout: Duration,
+        last_digest_at: impl Fn(SocketAddrV4) -> Option<Instant>,
     ) -> SocketAddrV4 {
         self.skipped.retain(|_address, until| now < *until);
         if let Some((address, since)) = self.chosen {
-            let last = heard(address).map_or(since, |heard| heard.max(since));
-            if address != peers.own && now.saturating_duration_since(last) >= silence {
+            let last = last_digest_at(address).map_or(since, |at| at.max(since));
+            if address != peers.own && now.saturating_duration_since(last) >= digest_timeout {
                 self.skipped.insert(address, now + config.skip_time);
             }
         }
-        let others = peers.local_candidates(now).chain(self.kept(peers));
+        let others = peers
+            .local_candidates(now)
+            .chain(self.current_candidate(peers));
         let usable = others.filter(|(address, _capacity)| !self.skipped.contains_key(address));
         let address = peers.largest_of(usable, own_capacity, AGGREGATOR_KEY);
         if self.chosen() != Some(address) {
--- a/packet/src/load/load_report.rs
+++ b/packet/src/load/load_report.rs
@@ -1,4 +1,7 @@
-//! What hosts of a zone send each other about load while a service is contended.
+//! Datagrams by which the hosts of a zone exchange the load of contended services.
+//!
+//! Each host sends a [`LoadReport`] to the aggregator of its zone. The aggregator sums up the
+//! reports and sends a [`LoadDigest`] to every host of the zone.
 
 use std::time::Duration;
 
@@ -9,149 +12,156 @@
 use crate::ids::FlowTag;
 use crate::ids::ServiceName;
 use crate::ids::ServiceTag;
-use crate::load::load_view::LoadExchangeConfig;
+use crate::load::load_state::REQUEST_LOAD;
+use crate::load::load_tracker::LoadExchangeConfig;
 use crate::load::request_meter::ClassCounts;
 use crate::load::request_meter::RequestCounts;
 use crate::load::request_meter::TIME_UNIT;
-use crate::load::service_room::REQUEST_LOAD;
 use crate::load::zone_load::ZoneLoadEntry;
-use crate::peers::peer_datagram::MOST_DATAGRAM;
+use crate::peers::peer_datagram::MAX_DATAGRAM_BYTES;
 use crate::routes::route_config::RequestPriority;
 use crate::routes::route_table::MOST_CLASSES;
 
-/// Bytes of a datagram before its content: the format and the variant.
-const DATAGRAM_HEAD: usize = 2;
+/// Length of the format version and the variant that precede the content of a datagram.
+const DATAGRAM_HEADER_BYTES: usize = 2;
 
-/// Most bytes that one upstream takes in a datagram. An estimate: a wrong one only costs another encoding.
-const UPSTREAM_BYTES: usize = 16;
+/// Estimated encoded length of one upstream. A wrong estimate only costs another encoding.
+const ESTIMATED_UPSTREAM_BYTES: usize = 16;
 
-/// Longest span that a report covers. Hosts that were stalled for longer begin anew.
-const LONGEST_SPAN: Duration = Duration::from_secs(5);
+/// Longest interval that a valid report covers. Hosts that were stalled for longer discard their
+/// counts.
+const MAX_REPORT_SPAN: Duration = Duration::from_secs(5);
 
-/// Most hosts whose reports a digest may contain: twice a zone at the target size.
-pub const MOST_REPORTERS: u32 = 1024;
+/// Maximum number of reporting hosts in a valid digest: twice the target size of a zone.
+pub const MAX_REPORTERS: u32 = 1024;
 
-/// What one host saw since its last report.
+/// Requests and SYNs that one host counted since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Grows with each report of the sender's process.
+    /// Increases with each report of the sender's process.
     pub sequence: u64,
-    /// Milliseconds that it covers.
+    /// Length of the covered interval in milliseconds.
     pub span: u32,
-    /// The contended services.
+    /// The services that are contended at the sender.
     pub services: Vec<ServiceReport>,
 }
 
-/// What one host saw of a service.
+/// Requests and SYNs of one service, as counted by one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// The service.
+    /// Tag of the service.
     pub service: ServiceTag,
-    /// Its requests at all upstreams of the zone.
+    /// Requests at all upstreams of the zone.
     pub requests: RequestCounts,
-    /// Its classes that had any demand.
+    /// Classes with new flows, SYNs or requests in the covered interval.
     pub classes: Vec<(RequestPriority, ClassCounts)>,
-    /// Upstreams that had requests, the longest request time first. May lack some with little.
+    /// Upstreams with requests, ordered by descending request time. Those with the least request
+    /// time are left out if the datagram would exceed its maximum length.
     pub upstreams: Vec<(FlowTag, RequestCounts)>,
 }
 
-/// What the reporting hosts of a zone saw of late.
+/// Load of a zone, summed up from the recent reports of its hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// Grows with each digest of the sender's process.
+    /// Increases with each digest of the sender's process.
     pub sequence: u64,
-    /// Hosts whose reports it contains.
+    /// Number of hosts with a report in the digest.
     pub reporters: u32,
-    /// The services of these reports, the most requests in progress first.
+    /// The reported services, ordered by descending pressure.
     pub services: Vec<ServiceDigest>,
-    /// The load of zones, for spill; empty if no zone has reported.
+    /// Load of the zones, for spill between zones; empty if no zone has reported.
     pub zones: Vec<ZoneLoadEntry>,
 }
 
-/// What the reporting hosts saw of a service.
+/// Load of one service, summed up from the reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDigest {
-    /// The service.
+    /// Tag of the service.
     pub service: ServiceTag,
-    /// Hosts that reported on it.
+    /// Number of hosts that reported the service.
     pub reporters: u32,
-    /// Whether it is contended.
+    /// Whether the aggregator regards the service as contended.
     pub is_contended: bool,
-    /// Requests in progress for each slot through these hosts, in parts of [`REQUEST_LOAD`].
+    /// Requests in progress through the reporting hosts per slot, in thousandths of a request (see
+    /// [`REQUEST_LOAD`]).
     pub pressure: u32,
-    /// Thousandths of the arrivals that were shed.
+    /// Share of the responses that were sheds, in thousandths.
     pub shed_share: u32,
-    /// Rates of its classes, a second.
+    /// Counts of each class per second.
     pub classes: Vec<(RequestPriority, ClassCounts)>,
-    /// Its upstreams with the most requests in progress, these first.
+    /// Upstreams with the most requests in progress, in descending order.
     pub upstreams: Vec<(FlowTag, RequestRates)>,
-    /// How many other upstreams it has in the zone.
+    /// Number of the service's upstreams in the zone that are not listed.
     pub others: u32,
-    /// Their sum.
+    /// Sum over the upstreams that are not listed.
     pub rest: RequestRates,
 }
 
-/// Requests at upstreams. The mean response time is `in_progress` divided by the rate of those not shed.
+/// Requests at one or more upstreams. The mean response time is `in_progress` divided by the rate
+/// of responses that were not sheds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRates {
-    /// Requests in progress, in parts of [`REQUEST_LOAD`].
+    /// Requests in progress, in thousandths of a request (see [`REQUEST_LOAD`]).
     pub in_progress: u64,
-    /// Responses a second, in thousandths; those that were sheds are among them.
+    /// Responses per second, sheds included, in thousandths.
     pub answered: u64,
-    /// Sheds a second, in thousandths.
+    /// Sheds per second, in thousandths.
     pub shed: u64,
 }
 
-/// The tag of a service: alike on every host, whatever its view.
+/// Returns the tag of a service, which is the same on every host because it depends on the name
+/// alone.
 pub fn service_tag(name: &ServiceName) -> ServiceTag {
     let hash = xxh3_64(name.as_bytes());
     (hash ^ (hash >> 32)) as ServiceTag
 }
 
 impl RequestRates {
-    /// Adds other rates.
+    /// Adds `other` to each count and rate.
     pub fn add(&mut self, other: Self) {
         self.in_progress = self.in_progress.saturating_add(other.in_progress);
         self.answered = self.answered.saturating_add(other.answered);
         self.shed = self.shed.saturating_add(other.shed);
     }
 
-    /// Mean time from a request to its response, sheds left out; zero if there was none.
+    /// Returns the mean time from a request to its response, sheds excluded; zero without
+    /// responses.
     pub fn response_time(&self) -> Duration {
         let served = self.answered.saturating_sub(self.shed);
         let micros = self.in_progress.saturating_mul(1_000_000);
         Duration::from_micros(micros.checked_div(served).unwrap_or(0))
     }
 
-    /// The same with no more request time than its requests can have. Reports whose parts do not belong together give
-    /// more.
+    /// Limits the requests in progress to [`LoadExchangeConfig::max_request_time`] per response.
+    /// Reports whose sums and upstreams contradict each other yield more.
     pub fn clamped(self, config: &LoadExchangeConfig) -> Self {
-        let most_time = config.longest_request.as_millis();
-        let most = u128::from(self.answered) * most_time / 1000;
-        let most = u64::try_from(most).unwrap_or(u64::MAX);
+        let max_time = config.max_request_time.as_millis();
+        let limit = u128::from(self.answered) * max_time / 1000;
+        let limit = u64::try_from(limit).unwrap_or(u64::MAX);
         Self {
-            in_progress: self.in_progress.min(most),
+            in_progress: self.in_progress.min(limit),
             ..self
         }
     }
 
-    /// Whether it has no more request time than its requests can have.
-    fn fits(&self, config: &LoadExchangeConfig) -> bool {
-        let most_time = config.longest_request.as_millis();
-        u128::from(self.in_progress) * 1000 <= u128::from(self.answered) * most_time
+    /// Returns whether the requests in progress do not exceed
+    /// [`LoadExchangeConfig::max_request_time`] per response.
+    fn has_plausible_time(&self, config: &LoadExchangeConfig) -> bool {
+        let max_time = config.max_request_time.as_millis();
+        u128::from(self.in_progress) * 1000 <= u128::from(self.answered) * max_time
     }
 }
 
 impl LoadReport {
-    /// Whether its counts are possible.
+    /// Returns whether all counts are possible. Invalid reports are rejected.
     pub fn is_valid(&self, config: &LoadExchangeConfig) -> bool {
         let span = Duration::from_millis(self.span.into());
-        if span.is_zero() || span > LONGEST_SPAN {
+        if span.is_zero() || span > MAX_REPORT_SPAN {
             return false;
         }
-        let most_time = config.longest_request.as_nanos() / TIME_UNIT.as_nanos();
-        let fits = |counts: &RequestCounts| {
-            u128::from(counts.time) <= u128::from(counts.answered) * most_time
+        let max_time = config.max_request_time.as_nanos() / TIME_UNIT.as_nanos();
+        let has_plausible_time = |counts: &RequestCounts| {
+            u128::from(counts.time) <= u128::from(counts.answered) * max_time
         };
         let (mut time, mut upstreams) = (0_u128, 0);
         for service in &self.services {
@@ -159,79 +169,81 @@
             let listed = service.upstreams.iter().map(|(_tag, counts)| counts);
             let listed_time: u128 = listed.clone().map(|counts| u128::from(counts.time)).sum();
             let sum = &service.requests;
-            let is_possible = service.classes.len() <= MOST_CLASSES
-                && fits(sum)
-                && listed.clone().all(fits)
+            let is_plausible = service.classes.len() <= MOST_CLASSES
+                && has_plausible_time(sum)
+                && listed.clone().all(has_plausible_time)
                 && listed_time <= u128::from(sum.time);
-            if !is_possible {
+            if !is_plausible {
                 return false;
             }
             time += u128::from(sum.time);
         }
         let in_progress = time * TIME_UNIT.as_nanos() / span.as_nanos();
-        upstreams <= config.most_upstreams && in_progress <= u128::from(config.most_in_progress)
+        upstreams <= config.max_upstreams && in_progress <= u128::from(config.max_in_progress)
     }
 
-    /// Drops the upstreams with the least request time until it fits into a datagram.
-    pub fn shorten(&mut self, config: &LoadExchangeConfig) {
-        shorten(self, config);
+    /// Drops the upstreams with the least request time until the report fits into a datagram, then
+    /// whole services.
+    pub fn truncate_to_fit(&mut self, config: &LoadExchangeConfig) {
+        truncate_to_fit(self, config);
     }
 }
 
 impl LoadDigest {
-    /// What it says of a service.
+    /// Returns the entry of a service; `None` if no host reported it.
     pub fn service(&self, service: ServiceTag) -> Option<&ServiceDigest> {
         self.services
             .iter()
             .find(|digest| digest.service == service)
     }
 
-    /// Whether its counts are possible.
+    /// Returns whether all counts are possible. Invalid digests are rejected.
     pub fn is_valid(&self, config: &LoadExchangeConfig) -> bool {
-        if self.reporters == 0 || self.reporters > MOST_REPORTERS {
+        if self.reporters == 0 || self.reporters > MAX_REPORTERS {
             return false;
         }
-        let most = u128::from(config.most_in_progress) * u128::from(REQUEST_LOAD);
+        let limit = u128::from(config.max_in_progress) * u128::from(REQUEST_LOAD);
         let (mut in_progress, mut upstreams) = (0_u128, 0);
         for service in &self.services {
             upstreams += service.upstreams.len();
             let rates = service.upstreams.iter().map(|(_tag, rates)| rates);
             for rates in rates.chain([&service.rest]) {
                 in_progress += u128::from(rates.in_progress);
-                if !rates.fits(config) {
+                if !rates.has_plausible_time(config) {
                     return false;
                 }
             }
-            let is_possible = (1..=self.reporters).contains(&service.reporters)
+            let is_plausible = (1..=self.reporters).contains(&service.reporters)
                 && service.classes.len() <= MOST_CLASSES
-                && u128::from(service.pressure) <= most
+                && u128::from(service.pressure) <= limit
                 && service.shed_share <= 1000;
-            if !is_possible {
+            if !is_plausible {
                 return false;
             }
         }
-        upstreams <= config.most_upstreams && in_progress <= most
+        upstreams <= config.max_upstreams && in_progress <= limit
     }
 
-    /// Moves the upstreams with the fewest requests in progress to the rest until it fits into a datagram.
-    pub fn shorten(&mut self, config: &LoadExchangeConfig) {
-        shorten(self, config);
+    /// Moves the upstreams with the fewest requests in progress to [`ServiceDigest::rest`] until
+    /// the digest fits into a datagram, then drops whole services.
+    pub fn truncate_to_fit(&mut self, config: &LoadExchangeConfig) {
+        truncate_to_fit(self, config);
     }
 }
 
-/// A datagram that can say less.
-trait ShortenedDatagram: Serialize {
-    /// Upstreams that it names.
+/// A datagram that can be shortened to the maximum length.
+trait TruncatableDatagram: Serialize {
+    /// Returns the number of listed upstreams.
     fn upstreams(&self) -> usize;
 
-    /// Leaves out the upstream with the least load; false if there is none.
+    /// Removes the listed upstream with the least load; returns false if none is listed.
     fn drop_upstream(&mut self) -> bool;
 
-    /// Leaves out a service; false if there is none.
+    /// Removes the last service; returns false if there is none.
     fn drop_service(&mut self) -> bool;
 }
 
-impl ShortenedDatagram for LoadReport {
+impl TruncatableDatagram for LoadReport {
     fn upstreams(&self) -> usize {
         let services = self.services.iter();
         services.map(|service| service.upstreams.len()).sum()
@@ -243,9 +255,9 @@
             .iter_mut()
             .map(|service| &mut service.upstreams);
         let lists = lists.filter(|upstreams| !upstreams.is_empty());
-        let least =
+        let least_loaded =
             lists.min_by_key(|upstreams| upstreams.last().map(|(_tag, counts)| counts.time));
-        least.and_then(Vec::pop).is_some()
+        least_loaded.and_then(Vec::pop).is_some()
     }
 
     fn drop_service(&mut self) -> bool {
@@ -253,7 +265,7 @@
     }
 }
 
-impl ShortenedDatagram for LoadDigest {
+impl TruncatableDatagram for LoadDigest {
     fn upstreams(&self) -> usize {
         let services = self.services.iter();
         services.map(|service| service.upstreams.len()).sum()
@@ -262,11 +274,11 @@
     fn drop_upstream(&mut self) -> bool {
         let services = self.services.iter_mut();
         let listed = services.filter(|service| !service.upstreams.is_empty());
-        let least = listed.min_by_key(|service| {
+        let least_loaded = listed.min_by_key(|service| {
             let last = service.upstreams.last();
             last.map(|(_tag, rates)| rates.in_progress)
         });
-        let Some(service) = least else {
+        let Some(service) = least_loaded else {
             return false;
         };
         if let Some((_tag, rates)) = service.upstreams.pop() {
@@ -281,26 +293,26 @@
     }
 }
 
-fn shorten(datagram: &mut impl ShortenedDatagram, config: &LoadExchangeConfig) {
-    for _excess in config.most_upstreams..datagram.upstreams() {
+fn truncate_to_fit(datagram: &mut impl TruncatableDatagram, config: &LoadExchangeConfig) {
+    for _excess in config.max_upstreams..datagram.upstreams() {
         datagram.drop_upstream();
     }
     loop {
-        let bytes = DATAGRAM_HEAD + encoded_bytes(datagram);
-        let Some(excess) = bytes.checked_sub(MOST_DATAGRAM + 1) else {
+        let bytes = DATAGRAM_HEADER_BYTES + encoded_bytes(datagram);
+        let Some(excess) = bytes.checked_sub(MAX_DATAGRAM_BYTES + 1) else {
             return;
         };
-        let mut shortened = false;
-        for _upstream in 0..=excess / UPSTREAM_BYTES {
-            shortened |= datagram.drop_upstream();
+        let mut truncated = false;
+        for _upstream in 0..=excess / ESTIMATED_UPSTREAM_BYTES {
+            truncated |= datagram.drop_upstream();
         }
-        if !shortened && !datagram.drop_service() {
+        if !truncated && !datagram.drop_service() {
             return;
         }
     }
 }
 
 fn encoded_bytes(datagram: &impl Serialize) -> usize {
-    // A datagram that cannot be encoded is not sent either.
+    // Encoding errors are ignored here because the sender handles them and sends nothing.
     postcard::to_stdvec(datagram).map_or(0, |bytes| bytes.len())
 }
--- a/packet/src/load/report_store.rs
+++ b/packet/src/load/report_store.rs
@@ -1,4 +1,4 @@
-//! Keeps the reports of the hosts of a zone, and sums them up.
+//! Keeps the load reports of the hosts of a zone and sums them up.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,36 +12,38 @@
 use crate::ids::ServiceTag;
 use crate::load::load_report::LoadDigest;
 use crate::load::load_report::LoadReport;
-use crate::load::load_report::MOST_REPORTERS;
+use crate::load::load_report::MAX_REPORTERS;
 use crate::load::load_report::RequestRates;
 use crate::load::load_report::ServiceDigest;
-use crate::load::load_view::LoadExchangeConfig;
+use crate::load::load_state::REQUEST_LOAD;
+use crate::load::load_state::pressure_with_sheds;
+use crate::load::load_state::shed_share;
+use crate::load::load_state::slot_pressure;
+use crate::load::load_tracker::LoadExchangeConfig;
 use crate::load::request_meter::ClassCounts;
 use crate::load::request_meter::RequestCounts;
 use crate::load::request_meter::TIME_UNIT;
-use crate::load::service_room::REQUEST_LOAD;
-use crate::load::service_room::raised_pressure;
-use crate::load::service_room::shed_share;
-use crate::load::service_room::slot_pressure;
 use crate::routes::route_config::RequestPriority;
 use crate::routes::route_table::MOST_CLASSES;
 use crate::upstreams::upstream_table::UpstreamTable;
 
-/// Most reports that are kept of one host: as many as it sends in the longest window.
-const MOST_KEPT: usize = 8;
+/// Maximum number of reports kept per host. A host sends fewer within the longest lifetime of
+/// reports.
+const MAX_REPORTS_PER_HOST: usize = 8;
 
-/// Parts of a request in progress, or of a request a second, in which sums are kept, so that the rounding of hundreds of hosts
-/// does not add up.
-const SUM_PARTS: u128 = 1_000_000;
+/// Fixed-point scale of sums. It is fine enough that rounding errors of hundreds of hosts do not
+/// add up.
+const SUM_SCALE: u128 = 1_000_000;
 
-/// The reports of a zone's hosts.
+/// Recent load reports of the hosts of a zone.
 #[derive(Debug, Default)]
 pub struct ReportStore {
-    /// Reports by host, with the time at which each came; the oldest first. No host has none.
+    /// Arrivals and reports by host, the oldest first. No list is empty.
     hosts: BTreeMap<SocketAddrV4, VecDeque<(Instant, LoadReport)>>,
 }
 
-/// Requests at an upstream or service, in parts of [`SUM_PARTS`].
+/// Requests at an upstream or service. Requests in progress and rates per second are multiplied by
+/// [`SUM_SCALE`].
 #[derive(Clone, Copy, Debug, Default)]
 struct RequestSum {
     in_progress: u128,
@@ -49,7 +51,8 @@
     shed: u128,
 }
 
-/// The reports on one service.
+/// Sum of the reports on one service. The duration of each class is the longest interval that one
+/// host's reports cover.
 #[derive(Debug, Default)]
 struct ServiceSum {
     reporters: u32,
@@ -58,19 +61,20 @@
 }
 
 impl ReportStore {
-    /// Hosts of which reports are kept.
+    /// Returns the number of hosts with reports.
     pub fn reporters(&self) -> u32 {
         u32::try_from(self.hosts.len()).unwrap_or(u32::MAX)
     }
 
-    /// The hosts of which reports are kept.
+    /// Returns the hosts with reports.
     pub fn hosts(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.hosts.keys().copied()
     }
 
-    /// Keeps a report unless a later one of its sender is kept.
+    /// Stores a report, unless a report of the same sender with the same or a higher sequence is
+    /// stored.
     pub fn insert(&mut self, now: Instant, from: SocketAddrV4, report: &LoadReport) {
-        if self.reporters() >= MOST_REPORTERS && !self.hosts.contains_key(&from) {
+        if self.reporters() >= MAX_REPORTERS && !self.hosts.contains_key(&from) {
             return;
         }
         let reports = self.hosts.entry(from).or_default();
@@ -78,13 +82,13 @@
         if last.is_some_and(|last| report.sequence <= last) {
             return;
         }
-        if reports.len() >= MOST_KEPT {
+        if reports.len() >= MAX_REPORTS_PER_HOST {
             reports.pop_front();
         }
         reports.push_back((now, report.clone()));
     }
 
-    /// Discards reports that are older than `window`.
+    /// Discards reports older than `window`.
     pub fn expire(&mut self, now: Instant, window: Duration) {
         self.hosts.retain(|_host, reports| {
             reports.retain(|(at, _report)| now.saturating_duration_since(*at) < window);
@@ -92,7 +96,8 @@
         });
     }
 
-    /// The sum of the reports, which may not fit into a datagram yet. `hosts` is how many the zone has.
+    /// Returns the sum of the reports, which may exceed the maximum length of a datagram. `hosts`
+    /// is the number of hosts in the zone.
     pub fn digest(
         &self,
         config: &LoadExchangeConfig,
@@ -137,8 +142,8 @@
                     if record.takes_flows() {
                         slots = u32::saturating_add(slots, record.slots);
                     }
-                    let held = record.tag.and_then(|tag| Some((tag, by_tag.get(&tag)?)));
-                    match held {
+                    let found = record.tag.and_then(|tag| Some((tag, by_tag.get(&tag)?)));
+                    match found {
                         Some((tag, requests)) => {
                             listed.add_sum(requests);
                             digest.upstreams.push((tag, requests.rates()));
@@ -149,7 +154,7 @@
                 digest.upstreams.sort_unstable_by_key(|(tag, rates)| {
                     (std::cmp::Reverse(rates.in_progress), *tag)
                 });
-                digest.rest = sum.requests.less(&listed).rates().clamped(config);
+                digest.rest = sum.requests.minus(&listed).rates().clamped(config);
                 digest.pressure = slot_pressure(sum.requests.rates().in_progress, slots);
                 digest.is_contended = digest.shows_contention(config, hosts);
                 Some(digest)
@@ -166,31 +171,32 @@
 }
 
 impl ServiceDigest {
-    /// Whether enough of the zone's hosts reported to tell the load of the zone.
+    /// Returns whether enough of the zone's hosts reported to extrapolate to the zone.
     pub fn is_representative(&self, config: &LoadExchangeConfig, hosts: u32) -> bool {
         self.reporters.saturating_mul(config.reporters_divisor) >= hosts
     }
 
-    /// A load through the reporting hosts, as a load through all hosts of the zone.
+    /// Extrapolates a load through the reporting hosts to all hosts of the zone.
     pub fn scaled(&self, hosts: u32, load: u64) -> u64 {
         let reporters = u64::from(self.reporters.max(1));
         load.saturating_mul(u64::from(hosts).max(reporters)) / reporters
     }
 
-    /// The pressure of the zone; only that of the reporting hosts if these are few. Those that report of
-    /// themselves are those that see load, and their share would mark a calm service.
+    /// Returns the pressure of the zone. With few reporters, this is the pressure through these
+    /// hosts alone: they report because they carry load themselves, and an extrapolation from them
+    /// would mark a service with free slots as contended.
     pub fn zone_pressure(&self, config: &LoadExchangeConfig, hosts: u32) -> u32 {
         let pressure = match self.is_representative(config, hosts) {
             true => self.scaled(hosts, self.pressure.into()),
             false => self.pressure.into(),
         };
         let pressure = u32::try_from(pressure).unwrap_or(u32::MAX);
-        raised_pressure(config, pressure, self.shed_share)
+        pressure_with_sheds(config, pressure, self.shed_share)
     }
 
     fn shows_contention(&self, config: &LoadExchangeConfig, hosts: u32) -> bool {
         let pressure = self.zone_pressure(config, hosts);
-        pressure >= config.digest_pressure || self.shed_share > config.shed_share
+        pressure >= config.digest_pressure || self.shed_share > config.shed_share_threshold
     }
 }
 
@@ -219,10 +225,10 @@
     fn add(&mut self, counts: &RequestCounts, span: Duration) {
         let nanos = span.as_nanos().max(1);
         let time = u128::from(counts.time) * TIME_UNIT.as_nanos();
-        let a_second = |count: u32| u128::from(count) * SUM_PARTS * 1_000_000_000 / nanos;
-        self.in_progress += time * SUM_PARTS / nanos;
-        self.answered += a_second(counts.answered);
-        self.shed += a_second(counts.shed);
+        let per_second = |count: u32| u128::from(count) * SUM_SCALE * 1_000_000_000 / nanos;
+        self.in_progress += time * SUM_SCALE / nanos;
+        self.answered += per_second(counts.answered);
+        self.shed += per_second(counts.shed);
     }
 
     fn add_sum(&mut self, other: &Self) {
@@ -231,7 +237,7 @@
         self.shed += other.shed;
     }
 
-    fn less(&self, other: &Self) -> Self {
+    fn minus(&self, other: &Self) -> Self {
         Self {
             in_progress: self.in_progress.saturating_sub(other.in_progress),
             answered: self.answered.saturating_sub(other.answered),
@@ -239,14 +245,15 @@
         }
     }
 
-    /// The same in the parts of a digest. The rate of responses is rounded up, so that the request time always fits it.
+    /// Converts the sums to the units of a digest. The rate of responses is rounded up, so that
+    /// rounding alone never makes the request time implausible.
     fn rates(&self) -> RequestRates {
-        let part = SUM_PARTS / u128::from(REQUEST_LOAD);
-        let narrow = |sum: u128| u64::try_from(sum).unwrap_or(u64::MAX);
+        let part = SUM_SCALE / u128::from(REQUEST_LOAD);
+        let saturating_u64 = |sum: u128| u64::try_from(sum).unwrap_or(u64::MAX);
         RequestRates {
-            in_progress: narrow(self.in_progress / part),
-            answered: narrow(self.answered.div_ceil(part)),
-            shed: narrow(self.shed / part),
+            in_progress: saturating_u64(self.in_progress / part),
+            answered: saturating_u64(self.answered.div_ceil(part)),
+            shed: saturating_u64(self.shed / part),
         }
     }
 }
