--- a/packet/src/state/store_feed.rs
+++ b/packet/src/state/store_feed.rs
@@ -1,9 +1,11 @@
-//! When and what a host reads from the platform's store, and what it does when that fails.
+//! State machine of a host's calls to the platform's store: lists, watches, and retries after
+//! failures.
 //!
-//! First the whole list is read, page by page, and then watched from the revision of the first
-//! page on, so that what changed between pages is seen again. A watch goes on where the last one
-//! ended, over any number of failures; only when the store has dropped that part of its history, or has come back
-//! from a copy, is the list read again. What was learned is never forgotten meanwhile.
+//! The whole list is read first, page by page. Watches then start at the position of the first
+//! page, so that changes made between pages are not missed. A watch continues where the last one
+//! ended, across any number of failures. The list is read again only if the store has dropped that
+//! part of its history or was restored from a backup; the state read before stays in use until
+//! then.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -17,70 +19,74 @@
 use crate::state::state_snapshot::StateUpdate;
 use crate::state::store_position::StorePosition;
 
-/// How long a watch may wait at the store. A shorter one costs calls, of which only the few readers
-/// make any; a longer one leaves a store that is silent to its reader unnoticed.
+/// Time for which the store may hold a watch open without changes. A shorter time costs more calls,
+/// although only the few readers make them; with a longer one, a store that does not respond to its
+/// reader is detected later.
 pub const WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// How long the first watch of a host that begins to read waits: its answer says that the store serves this
-/// host, and others leave the reading to it only then.
-pub const FIRST_WAIT: Duration = Duration::from_millis(1);
+/// Time for which the store may hold the first watch of a new reader open. The response shows that
+/// the store serves this host, and other hosts step down only then.
+pub const FIRST_WATCH_WAIT: Duration = Duration::from_millis(1);
 
-/// How much longer than its wait a watch's answer may take, and how long any other answer. The
-/// store answers in 4 ms, and in 360 ms when it is slow.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(1500);
+/// Timeout of a store call; for a watch, in addition to its wait. The store responds in 4 ms, and
+/// in 360 ms when it is slow.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Pause after a watch that brought changes, so that those of a rolling replacement come together.
-/// Changes have to be in force within seconds; each call has its price.
+/// Pause after a watch that returned changes, so that the changes of a rolling update are read in
+/// batches. Each call has a cost, and changes need to be in force only within seconds.
 const BATCH_PAUSE: Duration = Duration::from_millis(300);
 
-/// First pause after a failure; doubled with each further one.
-const FIRST_RETRY: Duration = Duration::from_millis(200);
+/// Delay before the first retry after a failure; doubled with each further failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest pause after a failure. A store that comes back is heard within this time.
-const LONGEST_RETRY: Duration = Duration::from_millis(1000);
+/// Maximum delay before a retry, and so the longest time until a store that is available again is
+/// noticed.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreFault {
-    /// No connection, or it ended.
+    /// The connection failed or was closed.
     #[snafu(display("the store cannot be reached: {reason}"))]
     Unreachable {
-        /// What the connection said.
+        /// The connection error.
         reason: String,
     },
-    /// No answer in time.
+    /// The store did not answer in time.
     #[snafu(display("the store did not answer in time"))]
     TimedOut,
-    /// The list came in so slowly that it is left to others.
+    /// The list arrived so slowly that this host abandoned it.
     #[snafu(display("the store's list comes in slowly"))]
-    Crowded,
+    ListTooSlow,
     /// The store refused the call.
     #[snafu(display("the store refused the call with status {status}"))]
     Refused {
-        /// The status of the answer.
+        /// The HTTP status of the response.
         status: u16,
     },
-    /// The store no longer has the history asked for.
-    #[snafu(display("the store has dropped the history that was asked for"))]
+    /// The store no longer has the history after the requested position.
+    #[snafu(display("the store no longer has the requested history"))]
     HistoryDropped,
-    /// The store has come back from a copy since the list was begun, or since the position to be watched from.
+    /// The store was restored from a backup after the listing began, or after the watched position.
     #[snafu(display("the store has come back from a copy: era {era}"))]
     EraChanged {
-        /// The era of the answer.
+        /// The era of the response.
         era: StoreEra,
     },
-    /// The answer is of an earlier state than the store has shown before.
-    #[snafu(display("the store's answer is of {answered}, which is before {known}"))]
+    /// The response is of an earlier state than the store has returned before.
+    #[snafu(display(
+        "the store's answer is at position {answered}, before the known position {known}"
+    ))]
     Regressed {
-        /// The position of the answer.
+        /// The position of the response.
         answered: StorePosition,
-        /// The position that the store has shown before.
+        /// The position that the store has returned before.
         known: StorePosition,
     },
-    /// The answer cannot be read.
-    #[snafu(display("the store's answer cannot be read: {reason}"))]
+    /// The response cannot be decoded.
+    #[snafu(display("the store's answer cannot be decoded: {reason}"))]
     Malformed {
-        /// What is wrong with it.
+        /// The decoding error.
         reason: String,
     },
 }
@@ -88,142 +94,143 @@
 /// One page of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListPage {
-    /// What it lists, as far as it concerns this system.
+    /// The listed items that concern this system.
     pub items: Vec<PublishedItem>,
-    /// The last key of the page; `None` if it is the last page.
+    /// The last key of this page, after which the next one starts; `None` for the last page.
     pub next_after: Option<SmolStr>,
     /// The store's position when the page was read.
     pub position: StorePosition,
 }
 
-/// How far the body of a page has come.
+/// Download progress of a page's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListProgress {
-    /// Bytes that have come.
+    /// Bytes received.
     pub received: u64,
-    /// Bytes of the whole body; `None` if the store does not say.
+    /// Length of the whole body in bytes; `None` if the store does not send it.
     pub total: Option<u64>,
-    /// Time since the answer's head.
+    /// Time since the head of the response.
     pub elapsed: Duration,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchBatch {
-    /// Changes in the order in which they were made.
+    /// The changes that concern this system, in the order in which they were made.
     pub items: Vec<PublishedItem>,
-    /// Whether there was any change, also such as does not concern this system.
+    /// Whether there was any change, including those that do not concern this system.
     pub changed: bool,
-    /// The position to go on from.
+    /// The position from which to continue.
     pub position: StorePosition,
 }
 
-/// What to do next.
+/// The next action at the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedStep {
-    /// Read a page of the list, from the key after this one.
+    /// Read a page of the list.
     List {
-        /// The last key of the page before.
+        /// The last key of the previous page; `None` for the first page.
         after: Option<SmolStr>,
-        /// How long after the answer's head to look whether the list is better left to other hosts.
-        look_after: Option<Duration>,
+        /// Time after the response head at which to check whether the listing is too slow; `None`
+        /// for no check.
+        progress_check_after: Option<Duration>,
     },
-    /// Wait for changes after this position.
+    /// Watch for changes after a position.
     Watch {
-        /// The position.
+        /// The position after which changes are returned.
         after: StorePosition,
-        /// How long the store may wait for a change.
+        /// Time for which the store may wait for a change.
         wait: Duration,
     },
-    /// Do nothing until then.
+    /// Make no call until a time.
     Wait {
-        /// The moment.
+        /// The time of the next action.
         until: Instant,
     },
 }
 
-/// The state of a host's reading.
+/// The state of a host's calls to the store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreFeed {
-    /// Where the watch goes on; `None` while the list has to be read.
-    watched: Option<StorePosition>,
-    /// The store has refused to continue this position, so that a state as old as that needs the list.
-    refused: StorePosition,
-    /// Whether the store has answered the last call of this host.
-    answered: bool,
-    /// Position of the first page of a list that is being read.
-    listed_from: Option<StorePosition>,
+    /// Position after which the next watch starts; `None` while the list has to be read.
+    watch_after: Option<StorePosition>,
+    /// Latest position that the store could not continue; a state at or before it needs the list.
+    refused_position: StorePosition,
+    /// Whether the store answered the last call.
+    last_call_answered: bool,
+    /// Position of the first page of the list in progress; `None` between lists.
+    list_position: Option<StorePosition>,
     next_after: Option<SmolStr>,
-    gathered: Vec<PublishedItem>,
-    not_before: Option<Instant>,
-    /// Failed calls since the last watch that was answered. A list does not end the count: a store may refuse
-    /// each watch from where its own list ends.
+    listed_items: Vec<PublishedItem>,
+    next_call_at: Option<Instant>,
+    /// Failed calls since the last successful watch. A successful list does not reset the count,
+    /// because a store may refuse every watch from the position of its own list.
     failures: u32,
 }
 
 impl StoreFeed {
-    /// What to do now.
+    /// The action that is due now.
     pub fn next_step(&self, now: Instant) -> FeedStep {
-        if let Some(until) = self.not_before.filter(|until| *until > now) {
+        if let Some(until) = self.next_call_at.filter(|until| *until > now) {
             return FeedStep::Wait { until };
         }
-        match self.watched {
+        match self.watch_after {
             Some(after) => FeedStep::Watch {
                 after,
-                wait: if self.answered {
+                wait: if self.last_call_answered {
                     WATCH_WAIT
                 } else {
-                    FIRST_WAIT
+                    FIRST_WATCH_WAIT
                 },
             },
             None => FeedStep::List {
                 after: self.next_after.clone(),
-                look_after: None,
+                progress_check_after: None,
             },
         }
     }
 
-    /// Goes on from a position that a peer has handed on, if that is further; nothing is listed then.
-    pub fn skip_to(&mut self, position: StorePosition) {
-        if position > self.watched.unwrap_or(self.refused) {
-            self.watched = Some(position);
-            self.leave_list();
+    /// Continues from the position of a peer's state if it is further; the list is not read then.
+    pub fn advance_to(&mut self, position: StorePosition) {
+        if position > self.watch_after.unwrap_or(self.refused_position) {
+            self.watch_after = Some(position);
+            self.discard_list();
         }
     }
 
-    /// Learns that this host begins or ends to read: what the store answered before says nothing about the
-    /// next call.
+    /// Records that this host starts or stops reading. The next call is due at once, and a watch
+    /// uses [`FIRST_WATCH_WAIT`], because earlier responses say nothing about it.
     pub fn pause(&mut self) {
-        self.answered = false;
-        self.not_before = None;
+        self.last_call_answered = false;
+        self.next_call_at = None;
     }
 
-    /// Accepts a page; the update once the list is complete.
+    /// Accepts a page; returns the update once the list is complete.
     ///
-    /// Fails if the page is of another era than those before it, or of an earlier state than a watch was refused
-    /// from.
+    /// Fails if the page is of another era than those before it, or if the list is older than a
+    /// position that the store could not continue.
     pub fn listed(&mut self, page: ListPage) -> Result<Option<StateUpdate>, StoreFault> {
-        let through = self.listed_from.unwrap_or(page.position);
+        let through = self.list_position.unwrap_or(page.position);
         check_era(page.position, through)?;
-        if through < self.refused {
+        if through < self.refused_position {
             return Err(StoreFault::Regressed {
                 answered: through,
-                known: self.refused,
+                known: self.refused_position,
             });
         }
-        self.answered = true;
-        self.not_before = None;
-        self.listed_from = Some(through);
-        self.gathered.extend(page.items);
+        self.last_call_answered = true;
+        self.next_call_at = None;
+        self.list_position = Some(through);
+        self.listed_items.extend(page.items);
         if page.next_after.is_some() {
             self.next_after = page.next_after;
             return Ok(None);
         }
         self.next_after = None;
-        self.listed_from = None;
-        self.watched = Some(through);
+        self.list_position = None;
+        self.watch_after = Some(through);
         Ok(Some(StateUpdate {
-            items: std::mem::take(&mut self.gathered),
+            items: std::mem::take(&mut self.listed_items),
             through,
             whole: true,
             after: StorePosition::UNREAD,
@@ -231,18 +238,18 @@
         }))
     }
 
-    /// Accepts the events of a watch.
+    /// Accepts the result of a watch and returns it as an update.
     ///
-    /// Fails if they are of another era than the position that was watched from.
+    /// Fails if it is of another era than the watched position.
     pub fn changed(&mut self, now: Instant, batch: WatchBatch) -> Result<StateUpdate, StoreFault> {
-        let after = self.watched.unwrap_or_default();
+        let after = self.watch_after.unwrap_or_default();
         check_era(batch.position, after)?;
-        // A smaller revision of the same era is a read that lags behind.
+        // A smaller revision in the same era is a stale read.
         let through = batch.position.max(after);
         self.failures = 0;
-        self.answered = true;
-        self.watched = Some(through);
-        self.not_before = batch.changed.then(|| now + BATCH_PAUSE);
+        self.last_call_answered = true;
+        self.watch_after = Some(through);
+        self.next_call_at = batch.changed.then(|| now + BATCH_PAUSE);
         Ok(StateUpdate {
             items: batch.items,
             through,
@@ -252,40 +259,40 @@
         })
     }
 
-    /// Records a failed call.
+    /// Records a failed call and schedules the next one.
     pub fn failed(&mut self, now: Instant, fault: &StoreFault) {
-        self.answered = false;
+        self.last_call_answered = false;
         let needs_list = fault.needs_list();
         if needs_list {
-            self.refused = self.watched.take().unwrap_or(self.refused);
+            self.refused_position = self.watch_after.take().unwrap_or(self.refused_position);
         }
-        self.leave_list();
+        self.discard_list();
         if needs_list && self.failures == 0 {
             self.failures = 1;
             return;
         }
         let doublings = self.failures.min(8);
-        let pause = (FIRST_RETRY * (1 << doublings)).min(LONGEST_RETRY);
+        let pause = (MIN_RETRY_DELAY * (1 << doublings)).min(MAX_RETRY_DELAY);
         self.failures += 1;
-        self.not_before = Some(now + pause);
+        self.next_call_at = Some(now + pause);
     }
 
-    /// Leaves a list of which some pages were read.
-    fn leave_list(&mut self) {
-        self.listed_from = None;
+    /// Discards the pages of an incomplete list.
+    fn discard_list(&mut self) {
+        self.list_position = None;
         self.next_after = None;
-        self.gathered = Vec::new();
+        self.listed_items = Vec::new();
     }
 }
 
 impl StoreFault {
-    /// Whether the store responded, and the list has to be read to go on.
+    /// Whether the store responded, but the list has to be read before watches can continue.
     pub fn needs_list(&self) -> bool {
         matches!(self, Self::HistoryDropped | Self::EraChanged { .. })
     }
 }
 
-/// Checks that an answer is of the era of a known position.
+/// Checks that a response is of the same era as a known position.
 fn check_era(answered: StorePosition, known: StorePosition) -> Result<(), StoreFault> {
     match answered.era.cmp(&known.era) {
         Ordering::Less => Err(StoreFault::Regressed { answered, known }),
--- a/packet/src/state/store_position.rs
+++ b/packet/src/state/store_position.rs
@@ -1,7 +1,8 @@
 //! Positions in the history of the store.
 //!
-//! The store counts its changes by revision. When it comes back from a copy, it loses the changes since, gives
-//! out their revisions again, and counts its era up. Revisions are therefore comparable within an era only.
+//! The store numbers its changes by revision. When it is restored from a backup, it loses the
+//! changes made since, assigns their revisions again, and increments its era. Revisions are
+//! therefore comparable within one era only.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -14,19 +15,20 @@
 
 /// A position in the history of the store, ordered by era first.
 ///
-/// A state at a larger position supersedes one at a smaller position, also if it contains fewer changes.
+/// A state at a larger position supersedes one at a smaller position, even if it contains fewer
+/// changes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StorePosition {
-    /// The era.
+    /// Number of times the store was restored from a backup; 0 if it does not say.
     pub era: StoreEra,
     /// The revision within the era.
     pub revision: Revision,
 }
 
 impl StorePosition {
-    /// The position before the first change, at which nothing has been read.
+    /// The position of an empty state, before the first read.
     pub const UNREAD: Self = Self {
         era: 0,
         revision: 0,
@@ -37,14 +39,15 @@
         self == Self::UNREAD
     }
 
-    /// Whether something has been read, in an earlier era than that of the other position.
+    /// Whether this position was read in an earlier era than that of `other`; false if nothing has
+    /// been read.
     pub fn is_before_era_of(self, other: Self) -> bool {
         !self.is_unread() && self.era < other.era
     }
 }
 
 impl Display for StorePosition {
-    /// The era and the revision, separated by a full stop.
+    /// Formats the position as `era.revision`.
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "{}.{}", self.era, self.revision)
     }
--- a/packet/src/upstreams/upstream_record.rs
+++ b/packet/src/upstreams/upstream_record.rs
@@ -14,9 +14,9 @@
 use crate::ids::UpstreamName;
 use crate::ids::UpstreamNumber;
 use crate::ids::WriteCount;
-use crate::load::service_room::UpstreamLoad;
-use crate::selection::room_weight::MeasuredWeight;
-use crate::selection::room_weight::PlacedLoad;
+use crate::load::load_state::UpstreamLoad;
+use crate::selection::load_weight::MeasuredWeight;
+use crate::selection::load_weight::PlacedLoad;
 use crate::upstreams::upstream_entry::UpstreamEntry;
 
 /// The state of an upstream's registration.
--- a/packet/src/upstreams/upstream_table.rs
+++ b/packet/src/upstreams/upstream_table.rs
@@ -22,14 +22,14 @@
 use crate::load::load_report::service_tag;
 use crate::peers::peer_heartbeat::AnswerReport;
 use crate::peers::peer_heartbeat::FailureReport;
-use crate::peers::peer_heartbeat::MOST_FAILURES;
-use crate::peers::peer_heartbeat::MOST_REPORTS;
+use crate::peers::peer_heartbeat::MAX_FAILURE_REPORTS;
+use crate::peers::peer_heartbeat::MAX_UPSTREAM_REPORTS;
 use crate::peers::peer_heartbeat::UpstreamReport;
 use crate::policy_config::LapseConfig;
 use crate::policy_config::PolicyConfig;
 use crate::routes::route_config::ConnectionLimit;
 use crate::routes::route_config::RequestPriority;
-use crate::selection::room_weight::slot_weight;
+use crate::selection::load_weight::slot_weight;
 use crate::upstreams::upstream_entry::EntryState;
 use crate::upstreams::upstream_entry::UpstreamEntry;
 use crate::upstreams::upstream_record::RegistrationState;
@@ -56,7 +56,7 @@
     pub is_contended: bool,
     /// The priorities of the routes that lead to it, ascending.
     pub priorities: Vec<RequestPriority>,
-    /// Requests in progress for each slot in this host's zone, in parts of [`crate::load::service_room::REQUEST_LOAD`],
+    /// Requests in progress for each slot in this host's zone, in parts of [`crate::load::load_state::REQUEST_LOAD`],
     /// raised while upstreams shed.
     pub pressure: u32,
     /// The most connections that one upstream holds; `None` if it is not published.
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct UpstreamTable {
     zone: ZoneName,
-    flow_age: Duration,
+    max_flow_age: Duration,
     pub(crate) config: PolicyConfig,
     /// Entries that `free` names hold an upstream that nothing refers to.
     pub(crate) records: Vec<UpstreamRecord>,
@@ -98,11 +98,11 @@
 }
 
 impl UpstreamTable {
-    /// An empty table of a host in `zone`, which remembers former upstreams for `flow_age`.
-    pub fn new(zone: ZoneName, flow_age: Duration, config: PolicyConfig) -> Self {
+    /// An empty table of a host in `zone`, which remembers former upstreams for `max_flow_age`.
+    pub fn new(zone: ZoneName, max_flow_age: Duration, config: PolicyConfig) -> Self {
         Self {
             zone,
-            flow_age,
+            max_flow_age,
             config,
             records: Vec::new(),
             free: Vec::new(),
@@ -367,7 +367,7 @@
         let index = self.by_name(name)?;
         let LapseConfig {
             grace,
-            recent_response,
+            max_response_age,
             ..
         } = self.config.lapse;
         let record = self.get_mut(index);
@@ -375,7 +375,7 @@
         let answers = record
             .silence
             .last_response()
-            .is_some_and(|sign| now.saturating_duration_since(sign) < recent_response);
+            .is_some_and(|sign| now.saturating_duration_since(sign) < max_response_age);
         if record.registration == RegistrationState::Ready && answers {
             let until = now + grace;
             record.registration = RegistrationState::Lapsed {
@@ -427,7 +427,7 @@
         let mut changed = Vec::new();
         for index in self.by_name.values().copied() {
             let answers = &mut self.records[index as usize].answers;
-            if answers.judge(&self.config.outlier, now) {
+            if answers.evaluate(&self.config.outlier, now) {
                 changed.push(index);
             }
         }
@@ -438,13 +438,14 @@
     pub fn learn_loads(&mut self, costs: &FlowCosts) {
         let config = &self.config.room;
         for (service, pool) in self.pools.iter_mut().enumerate() {
-            let turnover = costs.turnover(&self.config.costs, service as ServiceIndex);
+            let short_flow_share =
+                costs.short_flow_share(&self.config.costs, service as ServiceIndex);
             let (mut weights, mut slots) = (0.0, 0.0);
             for index in &pool.local {
                 let record = &mut self.records[*index as usize];
                 record
                     .weight
-                    .learn(config, record.slots, turnover, &record.load);
+                    .learn(config, record.slots, short_flow_share, &record.load);
                 if let Some(weight) = record.weight.current(&record.load) {
                     weights += weight;
                     slots += f64::from(record.slots);
@@ -502,7 +503,7 @@
                 answers: record.answers.own_counts().into(),
             })
         });
-        reports.take(MOST_REPORTS).collect()
+        reports.take(MAX_UPSTREAM_REPORTS).collect()
     }
 
     /// This host's failure reports on the upstreams of its zone.
@@ -513,7 +514,7 @@
             let tag = record.tag.filter(|_tag| answers.failed > 0)?;
             Some(FailureReport { tag, answers })
         });
-        reports.take(MOST_FAILURES).collect()
+        reports.take(MAX_FAILURE_REPORTS).collect()
     }
 
     /// Records an unanswered attempt of a caller, sent at `sent`; true if it ejects the upstream.
@@ -597,7 +598,7 @@
 
     fn retire(&mut self, now: Instant, index: UpstreamIndex) {
         self.leave_pool(index);
-        let forget_at = now + self.flow_age;
+        let forget_at = now + self.max_flow_age;
         self.get_mut(index).registration = RegistrationState::Deregistered { forget_at };
     }
 
--- a/packet/tests/admission_rig.rs
+++ b/packet/tests/admission_rig.rs
@@ -1,4 +1,4 @@
-//! Callers and a service in virtual time, with and without admission by class.
+//! A simulation of callers and a service in virtual time, with and without admission by class.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,9 +12,9 @@
 use lagoonproxy_packet::admission::admission_state::AdmissionState;
 use lagoonproxy_packet::admission::admission_state::SynArrival;
 use lagoonproxy_packet::admission::class_admission::ClassAdmissionConfig;
-use lagoonproxy_packet::admission::class_admission::SynVerdict;
+use lagoonproxy_packet::admission::class_admission::SynDecision;
 use lagoonproxy_packet::flows::flow_table::FlowKey;
-use lagoonproxy_packet::load::service_room::ServiceRoom;
+use lagoonproxy_packet::load::load_state::ContentionState;
 use lagoonproxy_packet::routes::route_config::RequestPriority;
 use lagoonproxy_packet::routes::route_table::RequestClass;
 use rand::RngExt;
@@ -24,53 +24,54 @@
 use crate::core_rig::ledger;
 
 const CALLERS: u16 = 300;
-/// Mean time of a request in microseconds: 4 to 40 ms, and of 3 % seven times as much.
+/// Mean service time of a request in microseconds: 4 to 40 ms, with 3 % of the requests taking
+/// seven times as long.
 const MEAN_TIME: f64 = 22_000.0 * (0.97 + 0.03 * 7.0);
-const CALM_END: u64 = 3_000_000;
-const RUSH_END: u64 = 18_000_000;
+const BASELINE_END: u64 = 3_000_000;
+const OVERLOAD_END: u64 = 18_000_000;
 
-/// A load in which classes, the most urgent first, have these shares of the demand.
+/// A load case. Arrays are indexed by class, the most urgent first.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadCase {
-    /// The rush's demand against the room.
+    /// Demand during the overload, as a multiple of the capacity.
     pub demand: f64,
-    /// Whether every caller sends its first request at the same moment.
+    /// Whether all callers send their first request at the same time.
     pub starts_at_once: bool,
-    /// Shares of the classes; their sum is 1.
+    /// Share of each class in the demand; the sum is 1.
     pub shares: [f64; 3],
     /// Latency objectives in milliseconds.
     pub targets: [u64; 3],
     /// Slots of an upstream.
     pub slots: usize,
-    /// Places in the queue of an upstream.
+    /// Queue length of an upstream.
     pub queue: usize,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Parameters; `None` if every SYN is placed.
+    /// Parameters of admission; `None` if every SYN is placed.
     pub admission: Option<ClassAdmissionConfig>,
 }
 
-/// What became of the requests of the rush.
+/// Outcomes of the requests sent during the overload.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadResult {
-    /// Requests of each class.
-    pub asked: [u32; 3],
-    /// Those answered within the objective.
+    /// Number of requests of each class.
+    pub requested: [u32; 3],
+    /// Number of requests answered within the objective.
     pub in_time: [u32; 3],
-    /// Those answered.
+    /// Number of requests answered.
     pub answered: [u32; 3],
-    /// Requests that reached an upstream.
+    /// Number of requests that reached an upstream.
     pub arrivals: u32,
-    /// Requests that an upstream shed.
+    /// Number of requests that an upstream shed.
     pub shed: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum LoadEvent {
     Digest,
-    Asked(u16),
+    Started(u16),
     Syn {
         request: usize,
         attempt: u16,
@@ -97,25 +98,26 @@
 struct LoadRig {
     case: LoadCase,
     start: Instant,
-    /// Draws of the callers, which are the same with and without admission.
+    /// Random numbers of the callers, which are the same with and without admission.
     callers: StdRng,
     random: StdRng,
-    /// The hosts that SYNs arrive at, by hash of the flow.
+    /// Hosts, selected by the hash of the flow.
     hosts: Vec<AdmissionState>,
     events: BinaryHeap<Reverse<(u64, LoadEvent)>>,
     requests: Vec<LoadRequest>,
     /// Requests at each upstream; the first `slots` of them run.
     queues: Vec<VecDeque<usize>>,
-    /// Requests in progress at each upstream, by digest, in the last second.
-    known: VecDeque<(Vec<usize>, u32, u32)>,
-    room: ServiceRoom,
+    /// Samples of the last second: requests in progress at each upstream, total arrivals and total
+    /// sheds.
+    samples: VecDeque<(Vec<usize>, u32, u32)>,
+    room: ContentionState,
     contended_until: u64,
     arrivals: u32,
     shed: u32,
     result: LoadResult,
 }
 
-/// Runs a load.
+/// Runs a load case.
 pub fn run_load(case: LoadCase, seed: u64) -> LoadResult {
     let mut rig = LoadRig {
         case,
@@ -128,8 +130,8 @@
         events: BinaryHeap::from([Reverse((0, LoadEvent::Digest))]),
         requests: Vec::new(),
         queues: vec![VecDeque::new(); case.upstreams],
-        known: VecDeque::new(),
-        room: ServiceRoom::default(),
+        samples: VecDeque::new(),
+        room: ContentionState::default(),
         contended_until: 0,
         arrivals: 0,
         shed: 0,
@@ -138,10 +140,11 @@
     for caller in 0..CALLERS {
         let spread = if case.starts_at_once { 2 } else { 300_000 };
         let first = rig.callers.random_range(1..spread);
-        rig.events.push(Reverse((first, LoadEvent::Asked(caller))));
+        rig.events
+            .push(Reverse((first, LoadEvent::Started(caller))));
     }
     while let Some(Reverse((now, event))) = rig.events.pop() {
-        if now > RUSH_END + 6_000_000 {
+        if now > OVERLOAD_END + 6_000_000 {
             break;
         }
         rig.handle(now, event);
@@ -150,22 +153,22 @@
 }
 
 impl LoadRig {
-    fn at(&mut self, time: u64, event: LoadEvent) {
+    fn schedule(&mut self, time: u64, event: LoadEvent) {
         self.events.push(Reverse((time, event)));
     }
 
     fn handle(&mut self, now: u64, event: LoadEvent) {
         match event {
             LoadEvent::Digest => self.digest(now),
-            LoadEvent::Asked(caller) => self.ask(now, caller),
+            LoadEvent::Started(caller) => self.start_request(now, caller),
             LoadEvent::Syn {
                 request,
                 attempt,
                 copy,
             } => self.syn(now, request, attempt, copy),
             LoadEvent::GivenUp { request, attempt } => {
-                let held = &self.requests[request];
-                if held.attempt == attempt && !held.placed {
+                let state = &self.requests[request];
+                if state.attempt == attempt && !state.placed {
                     self.retry(now, request);
                 }
             }
@@ -173,25 +176,26 @@
         }
     }
 
-    /// Publishes the mean of the last second, as the load exchange does.
+    /// Samples the load, and publishes the mean of the last second every 250 ms, as the load
+    /// exchange does.
     fn digest(&mut self, now: u64) {
         if now.is_multiple_of(250_000) {
             let at = self.start + Duration::from_micros(now);
             self.hosts.iter_mut().for_each(|host| host.tick(at));
         }
-        self.at(now + 25_000, LoadEvent::Digest);
+        self.schedule(now + 25_000, LoadEvent::Digest);
         let counts = self.queues.iter().map(VecDeque::len).collect();
         let (arrivals, shed) = (self.arrivals, self.shed);
-        self.known.push_back((counts, arrivals, shed));
-        if self.known.len() > 40 {
-            self.known.pop_front();
+        self.samples.push_back((counts, arrivals, shed));
+        if self.samples.len() > 40 {
+            self.samples.pop_front();
         }
         if !now.is_multiple_of(250_000) {
             return;
         }
-        let sum: usize = self.known.iter().flat_map(|known| &known.0).sum();
-        let slots = self.known.len() * self.case.upstreams * self.case.slots;
-        let before = &self.known[0];
+        let sum: usize = self.samples.iter().flat_map(|sample| &sample.0).sum();
+        let slots = self.samples.len() * self.case.upstreams * self.case.slots;
+        let before = &self.samples[0];
         let share = f64::from(shed - before.2) / f64::from((arrivals - before.1).max(1));
         let mut pressure = (sum * 1000 / slots) as u32;
         if share > 0.03 {
@@ -200,27 +204,27 @@
         if pressure >= 750 {
             self.contended_until = now + 3_000_000;
         }
-        self.room = ServiceRoom {
+        self.room = ContentionState {
             pressure,
             is_contended: now < self.contended_until,
             updated_at: None,
         };
     }
 
-    fn ask(&mut self, now: u64, caller: u16) {
-        let rush = (CALM_END..RUSH_END).contains(&now);
-        let demand = if rush { self.case.demand } else { 0.6 };
-        let room = (self.case.upstreams * self.case.slots) as f64 / MEAN_TIME;
-        let pause = f64::from(CALLERS) / (room * demand);
+    fn start_request(&mut self, now: u64, caller: u16) {
+        let is_overload = (BASELINE_END..OVERLOAD_END).contains(&now);
+        let demand = if is_overload { self.case.demand } else { 0.6 };
+        let capacity = (self.case.upstreams * self.case.slots) as f64 / MEAN_TIME;
+        let pause = f64::from(CALLERS) / (capacity * demand);
         let pause = -self.callers.random::<f64>().max(1e-9).ln() * pause;
-        self.at(now + pause as u64 + 1, LoadEvent::Asked(caller));
+        self.schedule(now + pause as u64 + 1, LoadEvent::Started(caller));
         let draw = self.callers.random::<f64>();
         let class = match draw {
             draw if draw < self.case.shares[0] => 0,
             draw if draw < self.case.shares[0] + self.case.shares[1] => 1,
             _ => 2,
         };
-        self.result.asked[class] += u32::from(rush);
+        self.result.requested[class] += u32::from(is_overload);
         let request = self.requests.len();
         self.requests.push(LoadRequest {
             class,
@@ -229,15 +233,15 @@
             attempt: 0,
             placed: false,
         });
-        self.begin(now, request);
+        self.open_flow(now, request);
     }
 
-    /// Opens a flow.
-    fn begin(&mut self, now: u64, request: usize) {
+    /// Opens a flow for a request.
+    fn open_flow(&mut self, now: u64, request: usize) {
         let attempt = self.requests[request].attempt;
         for (copy, after) in [0, 200_000, 600_000].into_iter().enumerate() {
             let copy = copy as u32;
-            self.at(
+            self.schedule(
                 now + after,
                 LoadEvent::Syn {
                     request,
@@ -246,73 +250,73 @@
                 },
             );
         }
-        self.at(now + 1_400_000, LoadEvent::GivenUp { request, attempt });
+        self.schedule(now + 1_400_000, LoadEvent::GivenUp { request, attempt });
     }
 
     fn retry(&mut self, now: u64, request: usize) {
-        let held = &mut self.requests[request];
-        held.attempt += 1;
-        held.placed = false;
-        if held.attempt <= 2 {
-            self.begin(now, request);
+        let state = &mut self.requests[request];
+        state.attempt += 1;
+        state.placed = false;
+        if state.attempt <= 2 {
+            self.open_flow(now, request);
         }
     }
 
     fn syn(&mut self, now: u64, request: usize, attempt: u16, copy: u32) {
-        let held = &self.requests[request];
-        if held.attempt != attempt || held.placed {
+        let state = &self.requests[request];
+        if state.attempt != attempt || state.placed {
             return;
         }
-        let verdict = match self.case.admission.is_some() && self.room.is_contended {
-            true => self.judge(now, request, copy),
+        let decision = match self.case.admission.is_some() && self.room.is_contended {
+            true => self.evaluate(now, request, copy),
             false => {
-                let rank = held.class as u8;
+                let rank = state.class as u8;
                 let at = self.start + Duration::from_micros(now);
-                let host = host_of(request, attempt, self.case.hosts);
+                let host = host_index(request, attempt, self.case.hosts);
                 self.hosts[host].record_placed(at, 0, rank);
-                SynVerdict::Admit
+                SynDecision::Admit
             }
         };
-        match verdict {
-            SynVerdict::Admit => self.place(now, request),
-            SynVerdict::Defer(_) => {}
-            SynVerdict::Refuse(_) => self.retry(now, request),
+        match decision {
+            SynDecision::Admit => self.place(now, request),
+            SynDecision::Defer(_) => {}
+            SynDecision::Refuse(_) => self.retry(now, request),
         }
     }
 
-    fn judge(&mut self, now: u64, request: usize, copy: u32) -> SynVerdict {
-        let held = &self.requests[request];
-        let address = Ipv4Addr::from_bits(0x6440_0000 + u32::from(held.caller));
+    fn evaluate(&mut self, now: u64, request: usize, copy: u32) -> SynDecision {
+        let state = &self.requests[request];
+        let address = Ipv4Addr::from_bits(0x6440_0000 + u32::from(state.caller));
         let syn = SynArrival {
             key: FlowKey {
                 caller: SocketAddrV4::new(
                     address,
-                    ((request * 3) as u16).wrapping_add(held.attempt),
+                    ((request * 3) as u16).wrapping_add(state.attempt),
                 ),
                 service: ledger(),
             },
-            flow_hash: (request as u64 * 3 + u64::from(held.attempt))
+            flow_hash: (request as u64 * 3 + u64::from(state.attempt))
                 .wrapping_mul(0x9e37_79b9_7f4a_7c15),
             service: 0,
             room: self.room,
             class: RequestClass {
-                rank: held.class as u8,
+                rank: state.class as u8,
                 classes: 3,
-                priority: RequestPriority(held.class as u32),
+                priority: RequestPriority(state.class as u32),
             },
             copy,
             placed_before: false,
             has_free_slot: false,
-            target: Some(Duration::from_millis(self.case.targets[held.class])),
+            target: Some(Duration::from_millis(self.case.targets[state.class])),
             timeout: Some(Duration::from_secs(6)),
         };
         let at = self.start + Duration::from_micros(now);
-        let host = host_of(request, held.attempt, self.case.hosts);
-        let (_query, verdict) = self.hosts[host].judge(at, &syn);
-        verdict
+        let host = host_index(request, state.attempt, self.case.hosts);
+        let (_query, decision) = self.hosts[host].evaluate(at, &syn);
+        decision
     }
 
-    /// Places a request at the less loaded of two upstreams.
+    /// Places a request at the less loaded of two random upstreams.
     fn place(&mut self, now: u64, request: usize) {
         let [first, second] = [(); 2].map(|()| self.random.random_range(0..self.case.upstreams));
         let upstream = match self.queues[first].len() <= self.queues[second].len() {
@@ -320,11 +324,11 @@
             false => second,
         };
         self.arrivals += 1;
-        let rush = (CALM_END..RUSH_END).contains(&now);
-        self.result.arrivals += u32::from(rush);
+        let is_overload = (BASELINE_END..OVERLOAD_END).contains(&now);
+        self.result.arrivals += u32::from(is_overload);
         if self.queues[upstream].len() >= self.case.slots + self.case.queue {
             self.shed += 1;
-            self.result.shed += u32::from(rush);
+            self.result.shed += u32::from(is_overload);
             self.retry(now + 2000, request);
             return;
         }
@@ -342,26 +346,26 @@
             1
         };
         let time = self.random.random_range(4_000..40_000u64) * factor;
-        self.at(now + time, LoadEvent::Done { upstream, request });
+        self.schedule(now + time, LoadEvent::Done { upstream, request });
     }
 
     fn done(&mut self, now: u64, upstream: usize, request: usize) {
         let slots = self.case.slots;
         let queue = &mut self.queues[upstream];
-        queue.retain(|held| *held != request);
+        queue.retain(|state| *state != request);
         if queue.len() >= slots {
             let next = queue[slots - 1];
             self.run(now, upstream, next);
         }
-        let held = &self.requests[request];
-        if (CALM_END..RUSH_END).contains(&held.started) {
-            let in_time = now - held.started <= self.case.targets[held.class] * 1000;
-            self.result.answered[held.class] += 1;
-            self.result.in_time[held.class] += u32::from(in_time);
+        let state = &self.requests[request];
+        if (BASELINE_END..OVERLOAD_END).contains(&state.started) {
+            let in_time = now - state.started <= self.case.targets[state.class] * 1000;
+            self.result.answered[state.class] += 1;
+            self.result.in_time[state.class] += u32::from(in_time);
         }
     }
 }
 
-fn host_of(request: usize, attempt: u16, hosts: usize) -> usize {
+fn host_index(request: usize, attempt: u16, hosts: usize) -> usize {
     rendezvous_weight(request as u64, u64::from(attempt)) as usize % hosts
 }
--- a/packet/tests/core_rig.rs
+++ b/packet/tests/core_rig.rs
@@ -1,4 +1,4 @@
-//! Drives one core in virtual time.
+//! A test rig that runs one core in virtual time.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -34,50 +34,50 @@
 use lagoonproxy_packet::upstreams::upstream_entry::UpstreamEntry;
 use lagoonproxy_packet::upstreams::upstream_table::flow_tag;
 
-/// Zone of the host in tests.
+/// The host's zone.
 pub const ZONE: &str = "a";
 
-/// A position in the first era.
+/// Returns a position in the first era.
 pub fn at(revision: Revision) -> StorePosition {
     in_era(0, revision)
 }
 
-/// A position in an era.
+/// Returns a position in an era.
 pub fn in_era(era: StoreEra, revision: Revision) -> StorePosition {
     StorePosition { era, revision }
 }
 
-/// The address of the ledger.
+/// Returns the address of the route to the `ledger` service.
 pub fn ledger() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-/// The address of the certificate service.
+/// Returns the address of the route to the `certs` service.
 pub fn certs() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 2), 443)
 }
 
-/// A caller by its number.
+/// Returns the address of the caller with this number.
 pub fn caller(number: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), 1000 + number)
 }
 
-/// The name of an upstream by its number.
+/// Returns the name of the upstream with this number.
 pub fn upstream_name(number: u8) -> UpstreamName {
     format!("i-{number:02x}").into()
 }
 
-/// The tag of an upstream by its number.
+/// Returns the tag of the upstream with this number.
 pub fn tag(number: u8) -> FlowTag {
     flow_tag(&upstream_name(number))
 }
 
-/// The address of an upstream by its number.
+/// Returns the address of the upstream with this number.
 pub fn upstream_address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 128, 0, number), 8080)
 }
 
-/// A registration of a ready upstream in the host's zone.
+/// Returns the registration of a ready upstream in the host's zone.
 pub fn entry(number: u8, service: &str) -> UpstreamEntry {
     UpstreamEntry {
         name: upstream_name(number),
@@ -93,7 +93,7 @@
     }
 }
 
-/// A configuration whose routes lead to one service each.
+/// Returns a configuration in which each route has one service.
 pub fn routes(version: u64, routes: &[(SocketAddrV4, &str)]) -> RouteConfig {
     let routes = routes.iter().map(|(address, service)| ServiceRoute {
         address: *address,
@@ -116,12 +116,12 @@
     }
 }
 
-/// The routes of most tests.
-pub fn usual_routes(version: u64) -> RouteConfig {
+/// Returns a configuration with routes to `ledger` and `certs`.
+pub fn default_routes(version: u64) -> RouteConfig {
     routes(version, &[(ledger(), "ledger"), (certs(), "certs")])
 }
 
-/// The item of a configuration.
+/// Returns the published item of a configuration.
 pub fn routes_item(revision: Revision, config: RouteConfig) -> PublishedItem {
     PublishedItem {
         key: ItemKey::Routes,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The item of a registration.
+/// Returns the published item of a registration.
 pub fn upstream_item(revision: Revision, entry: UpstreamEntry) -> PublishedItem {
     PublishedItem {
         key: ItemKey::Upstream(entry.name.clone()),
@@ -139,7 +139,7 @@
     }
 }
 
-/// The item of a registration that is no more.
+/// Returns the published item of a deleted registration.
 pub fn removed_item(revision: Revision, number: u8) -> PublishedItem {
     PublishedItem {
         key: ItemKey::Upstream(upstream_name(number)),
@@ -148,7 +148,7 @@
     }
 }
 
-/// The item of a zone's evacuation.
+/// Returns the published item of a zone's evacuation.
 pub fn evacuation_item(revision: Revision, zone: &str) -> PublishedItem {
     PublishedItem {
         key: ItemKey::Evacuation(zone.into()),
@@ -157,7 +157,7 @@
     }
 }
 
-/// The item of a zone's evacuation that has ended.
+/// Returns the published item of an evacuation that has ended.
 pub fn restored_item(revision: Revision, zone: &str) -> PublishedItem {
     PublishedItem {
         content: ItemContent::Removed,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Everything there is at a revision.
+/// Returns an update with the whole state at a revision.
 pub fn whole(through: Revision, items: Vec<PublishedItem>) -> StateUpdate {
     StateUpdate {
         items,
@@ -176,7 +176,7 @@
     }
 }
 
-/// Changes that continue a revision.
+/// Returns an update with the changes after a revision.
 pub fn changes(after: Revision, through: Revision, items: Vec<PublishedItem>) -> StateUpdate {
     StateUpdate {
         items,
@@ -187,9 +187,9 @@
     }
 }
 
-/// Puts updates of the first era into another.
+/// Converts updates of the first era to another era.
 pub trait MoveToEra {
-    /// The same in this era.
+    /// Returns the same update in this era.
     fn moved_to(self, era: StoreEra) -> Self;
 }
 
@@ -207,7 +207,7 @@
     }
 }
 
-/// The settings of a host in tests.
+/// Returns the settings of the host.
 pub fn settings() -> HostSettings {
     let own = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 1), 7720);
     HostSettings {
@@ -222,46 +222,46 @@
         store_address: own,
         warmup_tolerance: None,
         stop_grace: Duration::from_secs(6),
-        flow_age: Duration::from_secs(60),
+        max_flow_age: Duration::from_secs(60),
     }
 }
 
-/// One core and its time.
+/// One core with a virtual clock.
 pub struct CoreRig {
     /// The core.
     pub core: PacketCore,
-    /// The present time.
+    /// The current virtual time.
     pub now: Instant,
-    /// The flows that were ended without a packet of theirs.
+    /// Resets that were not the response to a packet.
     pub resets: Vec<FlowReset>,
-    /// The events since they were last taken.
+    /// All events so far, unless a test takes them out.
     pub events: Vec<DecisionEvent>,
-    /// The store's revision.
+    /// The store's current revision.
     pub revision: Revision,
-    /// How often the store has come back from a copy.
+    /// The store's current era.
     pub era: StoreEra,
-    /// The store answers nobody.
-    pub store_away: bool,
+    /// Whether the store answers no calls.
+    pub store_unreachable: bool,
 }
 
 impl CoreRig {
-    /// A core that has read these upstreams of the ledger, and the usual routes.
+    /// Creates a core that has read the default routes and these upstreams of `ledger`.
     pub fn with_ledger(upstreams: &[u8]) -> Self {
         let entries = upstreams.iter().map(|number| entry(*number, "ledger"));
         Self::with_entries(entries.collect())
     }
 
-    /// A core that has read these registrations, and the usual routes.
+    /// Creates a core that has read the default routes and these registrations.
     pub fn with_entries(entries: Vec<UpstreamEntry>) -> Self {
         let mut rig = Self::empty();
-        let mut items = vec![routes_item(1, usual_routes(1))];
+        let mut items = vec![routes_item(1, default_routes(1))];
         items.extend(entries.into_iter().map(|entry| upstream_item(1, entry)));
         rig.revision = 10;
         rig.merge(&whole(10, items));
         rig
     }
 
-    /// A core that knows nothing.
+    /// Creates a core without any state.
     pub fn empty() -> Self {
         Self {
             core: PacketCore::new(&settings(), PolicyConfig::default()),
@@ -270,18 +270,18 @@
             events: Vec::new(),
             revision: 0,
             era: 0,
-            store_away: false,
+            store_unreachable: false,
         }
     }
 
-    /// Lets time pass, with ticks.
+    /// Advances the time, with a tick every 100 ms.
     pub fn pass(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = end.min(self.now + Duration::from_millis(100));
             let mut output = PacketOutput::default();
             self.core.tick(self.now, &mut output);
-            if self.core.reads() && !self.store_away {
+            if self.core.reads() && !self.store_unreachable {
                 self.core.store_answered(self.now);
             }
             self.resets.extend(output.resets);
@@ -289,14 +289,14 @@
         }
     }
 
-    /// Joins published state.
+    /// Merges an update of the published state.
     pub fn merge(&mut self, update: &StateUpdate) {
         let mut output = PacketOutput::default();
         self.core.merge(self.now, update, &mut output);
         self.events.extend(output.events);
     }
 
-    /// Publishes one change.
+    /// Publishes one change at the next revision.
     pub fn publish(&mut self, item: impl FnOnce(Revision) -> PublishedItem) {
         let after = self.revision;
         self.revision += 1;
@@ -304,14 +304,15 @@
         self.merge(&update.moved_to(self.era));
     }
 
-    /// Joins the list of a store that has come back from a copy with these items, at this revision.
+    /// Merges the list of a store that was restored from a backup with these items, at this
+    /// revision of the next era.
     pub fn restore(&mut self, revision: Revision, items: Vec<PublishedItem>) {
         self.era += 1;
         self.revision = revision;
         self.merge(&whole(revision, items).moved_to(self.era));
     }
 
-    /// Hands a packet in.
+    /// Handles a packet and returns the actions.
     pub fn packet(&mut self, head: &PacketHead) -> Vec<PacketAction> {
         let mut output = PacketOutput::default();
         self.core.packet(self.now, head, &mut output);
@@ -319,22 +320,23 @@
         output.actions
     }
 
-    /// Sends a copy of a caller's opening packet to the ledger; the upstreams that get it.
+    /// Sends a caller's SYN to `ledger`, and returns the upstreams that get it. `copy` is the
+    /// number of the retransmission; 0 for the first SYN.
     pub fn open(&mut self, number: u16, copy: u32) -> Vec<u8> {
         let head = open_head(number, copy);
         forwarded(&self.packet(&head))
     }
 
-    /// Opens a flow to the ledger at the first upstream that gets the packet; which one.
+    /// Opens a flow to `ledger` at the first upstream that gets its SYN, and returns that upstream.
     pub fn establish(&mut self, number: u16) -> u8 {
         let upstream = self.open(number, 0)[0];
-        self.packet(&carry_head(number, upstream, 0, 1, 0));
+        self.packet(&established_head(number, upstream, 0, 1, 0));
         upstream
     }
 
-    /// Sends a request of 100 bytes and, if `answered`, the acknowledgement of its answer.
+    /// Sends a request of 100 bytes; `turn` counts the requests of the flow from 0.
     pub fn request(&mut self, number: u16, upstream: u8, turn: u32) -> Vec<PacketAction> {
-        self.packet(&carry_head(
+        self.packet(&established_head(
             number,
             upstream,
             turn * 100,
@@ -343,14 +345,14 @@
         ))
     }
 
-    /// Acknowledges the answer of a request.
+    /// Acknowledges the response to request number `turn`.
     pub fn acknowledge(&mut self, number: u16, upstream: u8, turn: u32) {
         let (seq, ack) = ((turn + 1) * 100, 1 + (turn + 1) * 500);
-        self.packet(&carry_head(number, upstream, seq, ack, 0));
+        self.packet(&established_head(number, upstream, seq, ack, 0));
     }
 }
 
-/// A copy of a caller's opening packet to the ledger.
+/// Returns the head of a caller's SYN to `ledger`.
 pub fn open_head(number: u16, copy: u32) -> PacketHead {
     PacketHead {
         kind: PacketKind::Open,
@@ -364,10 +366,16 @@
     }
 }
 
-/// A packet of a caller's open flow to the ledger.
-pub fn carry_head(number: u16, upstream: u8, seq: u32, ack: u32, data_len: u16) -> PacketHead {
+/// Returns the head of a packet of a caller's established flow to `ledger`.
+pub fn established_head(
+    number: u16,
+    upstream: u8,
+    seq: u32,
+    ack: u32,
+    data_len: u16,
+) -> PacketHead {
     PacketHead {
-        kind: PacketKind::Carry,
+        kind: PacketKind::Established,
         caller: caller(number),
         service: ledger(),
         tag: tag(upstream),
@@ -378,7 +386,7 @@
     }
 }
 
-/// The numbers of the upstreams that a packet is forwarded to.
+/// Returns the numbers of the upstreams that a packet is forwarded to.
 pub fn forwarded(actions: &[PacketAction]) -> Vec<u8> {
     let numbers = actions.iter().filter_map(|action| match action {
         PacketAction::Forward { number, .. } => u8::try_from(*number).ok(),
@@ -387,7 +395,7 @@
     numbers.collect()
 }
 
-/// The code with which a caller's flow is reset, if it is.
+/// Returns the code of the reset among the actions, if there is one.
 pub fn reset_code(actions: &[PacketAction]) -> Option<ResultCode> {
     actions.iter().find_map(|action| match action {
         PacketAction::Reset { code, .. } => Some(*code),
@@ -395,7 +403,7 @@
     })
 }
 
-/// What becomes of a packet, in two words.
+/// Returns an action as text, with its result code.
 pub fn describe(action: &PacketAction) -> String {
     match action {
         PacketAction::Forward { .. } => "forward".to_owned(),
--- a/packet/tests/dispatch_rig.rs
+++ b/packet/tests/dispatch_rig.rs
@@ -1,5 +1,5 @@
-//! Drives the cores of one zone in virtual time, in steps of a millisecond, with the datagrams of dispatching
-//! between them and parked SYNs that are handed in again.
+//! Simulates the hosts of one zone in virtual time, in steps of a millisecond. Delivers the
+//! datagrams of dispatching between them, and resumes parked SYNs.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -23,7 +23,7 @@
 
 use crate::core_rig::*;
 
-/// One step, and the delay of a datagram.
+/// Simulation step, and default delay of a datagram.
 pub const STEP: Duration = Duration::from_millis(1);
 
 type PacketHandler = fn(&mut PacketCore, Instant, &PacketHead, &mut PacketOutput);
@@ -37,24 +37,25 @@
     pub dispatched: bool,
 }
 
-/// The hosts of a zone. The first has the most capacity.
+/// The hosts of a zone. Host 0 has the most capacity.
 pub struct DispatchRig {
     pub now: Instant,
     pub cores: Vec<PacketCore>,
-    /// Hosts that handle nothing until then.
+    /// Until when each host processes nothing.
     pub stopped: Vec<Option<Instant>>,
-    /// Whether datagrams of the first host reach the second.
-    pub reaches: fn(usize, usize) -> bool,
-    pub loses: Box<dyn Fn(&PeerDatagram) -> bool>,
+    /// Whether datagrams from the first host reach the second.
+    pub can_reach: fn(usize, usize) -> bool,
+    pub should_drop: Box<dyn Fn(&PeerDatagram) -> bool>,
     pub reply_delay: Duration,
-    /// Time by which the second host hands parked SYNs in late.
+    /// Additional delay until host 1 resumes a parked SYN.
     pub resume_delay: Duration,
-    /// Whether digests mark the service as contended.
+    /// Whether digests report the service as contended.
     pub contended: bool,
     pub placed: Vec<PlacedSyn>,
     pub resets: Vec<u16>,
-    pub parks: usize,
-    /// Datagrams of dispatching by sender: their number and bytes, and the longest of all.
+    pub park_count: usize,
+    /// Number and bytes of the dispatching datagrams of each sender; `longest` is the size of the
+    /// largest.
     pub sent: Vec<(usize, usize)>,
     pub longest: usize,
     network: Vec<(Instant, usize, usize, PeerDatagram)>,
@@ -62,14 +63,15 @@
     steps: u64,
 }
 
-/// The address of a host.
+/// Returns the address of a host.
 pub fn host_address(host: usize) -> SocketAddrV4 {
     let (block, number) = (host / 200, host % 200 + 1);
     SocketAddrV4::new(Ipv4Addr::new(10, 1, block as u8, number as u8), 7720)
 }
 
 impl DispatchRig {
-    /// Hosts that have read these upstreams of a contended service with an urgent and a less urgent route.
+    /// Creates hosts with this many upstreams of a contended service, which has an urgent and a
+    /// less urgent route.
     pub fn new(hosts: usize, upstreams: u8) -> Self {
         let now = Instant::now();
         let mut config = routes(1, &[(ledger(), "ledger"), (certs(), "ledger")]);
@@ -91,14 +93,14 @@
             now,
             cores: cores.collect(),
             stopped: vec![None; hosts],
-            reaches: |_from, _to| true,
-            loses: Box::new(|_datagram| false),
+            can_reach: |_from, _to| true,
+            should_drop: Box::new(|_datagram| false),
             reply_delay: STEP,
             resume_delay: Duration::ZERO,
             contended: true,
             placed: Vec::new(),
             resets: Vec::new(),
-            parks: 0,
+            park_count: 0,
             sent: vec![(0, 0); hosts],
             longest: 0,
             network: Vec::new(),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulation.
     pub fn pass(&mut self, millis: u64) {
         (0..millis).for_each(|_step| self.step());
     }
@@ -127,7 +129,7 @@
         self.network = network;
         let arrived: Vec<_> = arrived;
         for (_at, from, to, datagram) in arrived {
-            self.take(from, to, datagram);
+            self.deliver(from, to, datagram);
         }
         let parked = std::mem::take(&mut self.parked);
         let (resumed, parked) = parked
@@ -136,7 +138,7 @@
         self.parked = parked;
         let resumed: Vec<_> = resumed;
         for (_at, host, head) in resumed {
-            self.hand_in(host, &head, PacketCore::resume_packet);
+            self.handle_packet(host, &head, PacketCore::resume_packet);
         }
         for host in 0..self.cores.len() {
             if !self.is_stopped(host) && self.cores[host].has_dispatch_datagrams() {
@@ -159,12 +161,12 @@
         }
     }
 
-    /// Ends a host for good.
+    /// Stops a host for the rest of the simulation.
     pub fn kill(&mut self, host: usize) {
         self.stopped[host] = Some(self.now + Duration::from_secs(3600));
     }
 
-    /// Ticks and heartbeats of all hosts, and a digest that marks the service.
+    /// Ticks all hosts, and delivers heartbeats and a digest that reports the service as contended.
     fn tick(&mut self) {
         let digest = LoadDigest {
             sequence: self.steps + 1,
@@ -184,31 +186,31 @@
             for from in (0..self.cores.len()).filter(|from| *from != to) {
                 if self.steps.is_multiple_of(1000)
                     && !self.is_stopped(from)
-                    && (self.reaches)(from, to)
+                    && (self.can_reach)(from, to)
                 {
-                    let beat = heartbeat(from);
-                    self.cores[to].heard(self.now, host_address(from), beat, false);
+                    let message = heartbeat(from);
+                    self.cores[to].heard(self.now, host_address(from), message, false);
                 }
             }
             if self.contended {
                 let aggregator = SocketAddrV4::new(Ipv4Addr::new(10, 1, 9, 9), 7720);
-                self.cores[to].heard_digest(self.now, aggregator, &digest);
+                self.cores[to].handle_digest(self.now, aggregator, &digest);
             }
             self.cores[to].tick(self.now, &mut PacketOutput::default());
         }
     }
 
-    fn take(&mut self, from: usize, to: usize, datagram: PeerDatagram) {
+    fn deliver(&mut self, from: usize, to: usize, datagram: PeerDatagram) {
         let (now, source) = (self.now, host_address(from));
         let core = &mut self.cores[to];
         match datagram {
-            PeerDatagram::Requests(events) => core.heard_requests(now, &events),
+            PeerDatagram::Requests(events) => core.handle_request_events(now, &events),
             PeerDatagram::Query(query) => {
-                let reply = core.heard_query(now, source, &query);
+                let reply = core.handle_query(now, source, &query);
                 self.send(to, reply.targets[0], reply.datagram);
             }
             PeerDatagram::Reply(reply) => {
-                let Some((key, due_at)) = core.heard_reply(now, source, reply) else {
+                let Some((key, due_at)) = core.handle_reply(now, source, reply) else {
                     return;
                 };
                 let resumed = due_at + self.resume_delay(to);
@@ -230,19 +232,19 @@
         let to = (0..self.cores.len())
             .find(|host| host_address(*host) == target)
             .unwrap();
-        if (self.reaches)(from, to) && !(self.loses)(&datagram) {
+        if (self.can_reach)(from, to) && !(self.should_drop)(&datagram) {
             let is_reply = matches!(datagram, PeerDatagram::Reply(_));
             let delay = if is_reply { self.reply_delay } else { STEP };
             self.network.push((self.now + delay, from, to, datagram));
         }
     }
 
-    /// Hands a packet to a host.
+    /// Passes a packet to a host.
     pub fn packet(&mut self, host: usize, head: &PacketHead) {
-        self.hand_in(host, head, PacketCore::packet);
+        self.handle_packet(host, head, PacketCore::packet);
     }
 
-    fn hand_in(&mut self, host: usize, head: &PacketHead, handle: PacketHandler) {
+    fn handle_packet(&mut self, host: usize, head: &PacketHead, handle: PacketHandler) {
         let mut output = PacketOutput::default();
         handle(&mut self.cores[host], self.now, head, &mut output);
         let flow = head.caller.port() - 1000;
@@ -255,13 +257,13 @@
                 }
             )
         });
-        let opens = head.kind == lagoonproxy_packet::packet_head::PacketKind::Open;
-        let mut opened = false;
+        let is_syn = head.kind == lagoonproxy_packet::packet_head::PacketKind::Open;
+        let mut is_placed = false;
         for action in &output.actions {
             match action {
-                // A caller uses the upstream that responds first; a hedged SYN comes second.
-                PacketAction::Forward { number, .. } if opens && !opened => {
-                    opened = true;
+                // A caller uses the upstream that responds first; a hedged SYN is sent second.
+                PacketAction::Forward { number, .. } if is_syn && !is_placed => {
+                    is_placed = true;
                     self.placed.push(PlacedSyn {
                         host,
                         flow,
@@ -271,7 +273,7 @@
                 }
                 PacketAction::Reset { .. } => self.resets.push(flow),
                 PacketAction::Park => {
-                    self.parks += 1;
+                    self.park_count += 1;
                     let due = self.now + REPLY_TIMEOUT + self.resume_delay(host);
                     self.parked.push((due, host, *head));
                 }
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Opens a flow, and lets its reply come: where it went.
+    /// Opens a flow and waits for the dispatcher's reply. Returns where the flow was placed.
     pub fn place(&mut self, host: usize, flow: u16) -> Option<PlacedSyn> {
         let before = self.placed.len();
         self.packet(host, &open_head(flow, 0));
@@ -295,16 +297,20 @@
 
     /// Sends the request of a placed flow.
     pub fn request(&mut self, syn: PlacedSyn) {
-        self.packet(syn.host, &carry_head(syn.flow, syn.upstream, 0, 1, 100));
+        self.packet(
+            syn.host,
+            &established_head(syn.flow, syn.upstream, 0, 1, 100),
+        );
     }
 
-    /// Acknowledges the answer, and ends the flow.
+    /// Acknowledges the response and closes the flow.
     pub fn finish(&mut self, syn: PlacedSyn) {
-        let head = carry_head(syn.flow, syn.upstream, 100, 501, 0);
+        let head = established_head(syn.flow, syn.upstream, 100, 501, 0);
         self.packet(syn.host, &PacketHead { last: true, ..head });
     }
 
-    /// Lets the dispatchers hear of requests for long enough to place flows; the flows are from 60,000.
+    /// Sends requests until the dispatchers have learned enough to place flows. Uses the flows from
+    /// 60,000.
     pub fn warm_up(&mut self) {
         self.pass(110);
         for flow in 0..8 {
--- a/packet/tests/fleet_rig.rs
+++ b/packet/tests/fleet_rig.rs
@@ -16,7 +16,7 @@
 use lagoonproxy_packet::host_settings::HostSettings;
 use lagoonproxy_packet::ids::Revision;
 use lagoonproxy_packet::ids::StoreEra;
-use lagoonproxy_packet::load::load_view::AddressedDatagram;
+use lagoonproxy_packet::load::load_tracker::AddressedDatagram;
 use lagoonproxy_packet::packet_action::PacketOutput;
 use lagoonproxy_packet::packet_core::PacketCore;
 use lagoonproxy_packet::peers::peer_datagram::PeerDatagram;
@@ -199,7 +199,7 @@
         let seeds = hosts.iter().step_by(step).take(3);
         let seeds = seeds.map(|host| host.address).collect();
         let items = vec![
-            routes_item(1, usual_routes(1)),
+            routes_item(1, default_routes(1)),
             upstream_item(2, entry(1, "ledger")),
         ];
         Self {
@@ -484,17 +484,17 @@
             PeerDatagram::Change(update) => {
                 core.merge(now, &update, &mut PacketOutput::default());
             }
-            PeerDatagram::Failures(reports) => core.heard_failures(from, &reports),
-            PeerDatagram::Load(report) => core.heard_load(now, from, &report),
-            PeerDatagram::Digest(digest) => core.heard_digest(now, from, &digest),
-            PeerDatagram::Requests(events) => core.heard_requests(now, &events),
+            PeerDatagram::Failures(reports) => core.handle_failure_reports(from, &reports),
+            PeerDatagram::Load(report) => core.handle_load_report(now, from, &report),
+            PeerDatagram::Digest(digest) => core.handle_digest(now, from, &digest),
+            PeerDatagram::Requests(events) => core.handle_request_events(now, &events),
             PeerDatagram::Query(query) => {
-                let reply = core.heard_query(now, from, &query);
+                let reply = core.handle_query(now, from, &query);
                 self.send_due(place, [reply]);
             }
-            PeerDatagram::Reply(reply) => _ = core.heard_reply(now, from, reply),
+            PeerDatagram::Reply(reply) => _ = core.handle_reply(now, from, reply),
             PeerDatagram::ZoneLoad(report) => {
-                let reply = core.heard_zone_load(now, from, &report);
+                let reply = core.handle_zone_load(now, from, &report);
                 self.send_due(place, reply);
             }
         }
--- a/packet/tests/fleet_store.rs
+++ b/packet/tests/fleet_store.rs
@@ -131,7 +131,10 @@
             FeedStep::Wait { until } => {
                 self.wake(place, until);
             }
-            FeedStep::List { look_after, .. } if served => {
+            FeedStep::List {
+                progress_check_after,
+                ..
+            } if served => {
                 self.calls.push((now, place, StoreCall::List));
                 if !self.link_busy {
                     self.link_busy = true;
@@ -142,7 +145,7 @@
                     life: self.hosts[place].life,
                     left: self.list_bytes,
                     started: now,
-                    look_at: look_after.map(|after| now + after),
+                    look_at: progress_check_after.map(|after| now + after),
                 });
             }
             FeedStep::List { .. } => {
@@ -181,7 +184,7 @@
             let left = list.left > 0.0;
             let looks = list.look_at.take_if(|look_at| *look_at <= self.now);
             let leaves = looks.is_some_and(|_look| {
-                StartPlan::is_crowded(&ListProgress {
+                StartPlan::is_list_too_slow(&ListProgress {
                     received: (self.list_bytes - list.left) as u64,
                     total: Some(self.list_bytes as u64),
                     elapsed: self.now - list.started,
@@ -195,7 +198,7 @@
                     position: self.position(),
                 };
                 let answer = if left {
-                    Err(StoreFault::Crowded)
+                    Err(StoreFault::ListTooSlow)
                 } else {
                     Ok(page)
                 };
--- a/packet/tests/load_rig.rs
+++ b/packet/tests/load_rig.rs
@@ -1,10 +1,10 @@
-//! Callers with requests in progress, for tests of load.
+//! Test rig of flows with requests in progress, on one host or on a zone of hosts.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use lagoonproxy_packet::load::load_view::AddressedDatagram;
+use lagoonproxy_packet::load::load_tracker::AddressedDatagram;
 use lagoonproxy_packet::packet_action::PacketOutput;
 use lagoonproxy_packet::packet_head::PacketHead;
 use lagoonproxy_packet::peers::peer_heartbeat::PeerHeartbeat;
@@ -14,19 +14,19 @@
 use crate::core_rig::*;
 use crate::fleet_rig::*;
 
-/// Time from a request to its response, and from there to the next request.
-pub const HALF_TURN: u64 = 20;
+/// Time from a request to its response, and from the response to the next request.
+pub const HALF_CYCLE_MS: u64 = 20;
 
-/// Bytes of a usual response, and of an error.
-pub const USUAL_BYTES: u32 = 500;
+/// Lengths of a usual response and of a short error.
+pub const RESPONSE_BYTES: u32 = 500;
 pub const ERROR_BYTES: u32 = 20;
 
-/// A flow with one request after the other: half a request in progress.
+/// A flow that sends one request after the other, so that half a request is in progress on average.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadFlow {
     pub number: u16,
     pub upstream: u8,
-    /// The host that carries it, in a fleet.
+    /// The host that carries the flow, in a fleet.
     pub host: HostPlace,
     seq: u32,
     ack: u32,
@@ -43,21 +43,21 @@
         }
     }
 
-    /// The packet of its next request.
+    /// Returns the packet of the next request.
     pub fn request(&mut self) -> PacketHead {
-        let head = carry_head(self.number, self.upstream, self.seq, self.ack, 100);
+        let head = established_head(self.number, self.upstream, self.seq, self.ack, 100);
         self.seq += 100;
         head
     }
 
-    /// The acknowledgement of a response of so many bytes.
+    /// Returns the acknowledgement of a response of `bytes` bytes.
     pub fn response(&mut self, bytes: u32) -> PacketHead {
         self.ack += bytes;
-        carry_head(self.number, self.upstream, self.seq, self.ack, 0)
+        established_head(self.number, self.upstream, self.seq, self.ack, 0)
     }
 }
 
-/// So many flows to each upstream, numbered from 1.
+/// Creates `counts[i]` flows to the upstream with number `i + 1`.
 pub fn flows_to(counts: &[u16]) -> Vec<LoadFlow> {
     let upstreams = counts.iter().zip(1_u8..);
     let each = upstreams.flat_map(|(count, upstream)| (0..*count).map(move |_flow| upstream));
@@ -66,34 +66,40 @@
         .collect()
 }
 
-/// Lets flows work for a time through one host.
-pub fn work(rig: &mut CoreRig, flows: &mut [LoadFlow], millis: u64) {
-    work_with(rig, flows, millis, HALF_TURN, USUAL_BYTES);
+/// Sends requests and responses of the flows through one host for `millis`.
+pub fn run_flows(rig: &mut CoreRig, flows: &mut [LoadFlow], millis: u64) {
+    run_flows_with(rig, flows, millis, HALF_CYCLE_MS, RESPONSE_BYTES);
 }
 
-/// The same with another time to the response and another size of it.
-pub fn work_with(rig: &mut CoreRig, flows: &mut [LoadFlow], millis: u64, took: u64, bytes: u32) {
-    for _turn in 0..millis / (took + HALF_TURN) {
+/// Like [`run_flows`], with another response time and another length of responses.
+pub fn run_flows_with(
+    rig: &mut CoreRig,
+    flows: &mut [LoadFlow],
+    millis: u64,
+    response_ms: u64,
+    bytes: u32,
+) {
+    for _cycle in 0..millis / (response_ms + HALF_CYCLE_MS) {
         for flow in flows.iter_mut() {
             rig.packet(&flow.request());
         }
-        rig.pass(took);
+        rig.pass(response_ms);
         for flow in flows.iter_mut() {
             rig.packet(&flow.response(bytes));
         }
-        rig.pass(HALF_TURN);
+        rig.pass(HALF_CYCLE_MS);
     }
 }
 
-/// Lets so many other hosts of the zone be heard, with less capacity than this one.
-pub fn hear_peers(rig: &mut CoreRig, count: u8) {
+/// Delivers heartbeats of `count` other hosts of the zone, which have less capacity than this one.
+pub fn receive_heartbeats(rig: &mut CoreRig, count: u8) {
     for number in 0..count {
-        hear_peer_with(rig, number, 100);
+        receive_heartbeat(rig, number, 100);
     }
 }
 
-/// Lets another host of the zone be heard that has so many thousandths of a core.
-pub fn hear_peer_with(rig: &mut CoreRig, number: u8, capacity: u32) {
+/// Delivers a heartbeat of another host of the zone, with its capacity in thousandths of a core.
+pub fn receive_heartbeat(rig: &mut CoreRig, number: u8, capacity: u32) {
     let heartbeat = PeerHeartbeat {
         zone: ZONE.into(),
         reads: false,
@@ -110,39 +116,39 @@
     rig.core.heard(rig.now, peer(number), heartbeat, false);
 }
 
-/// The address of another host of the zone.
+/// Returns the address of another host of the zone.
 pub fn peer(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 1, number), 7720)
 }
 
-/// The datagrams about load that a host sends within a time.
-pub fn sent_within(rig: &mut CoreRig, millis: u64) -> Vec<AddressedDatagram> {
+/// Returns the load reports and digests that a host sends within `millis`.
+pub fn datagrams_sent_within(rig: &mut CoreRig, millis: u64) -> Vec<AddressedDatagram> {
     let mut sent = Vec::new();
-    for _look in 0..millis / 100 {
+    for _poll in 0..millis / 100 {
         rig.pass(100);
         sent.extend(rig.core.due_load_datagrams(rig.now));
     }
     sent
 }
 
-/// Whether the ledger is contended at a host.
+/// Returns whether a host regards the `ledger` service as contended.
 pub fn is_contended(rig: &CoreRig) -> bool {
     rig.core.load().room(rig.now, 0).is_contended
 }
 
-/// A zone of hosts whose ledger has upstreams with two slots each.
+/// A zone of hosts. The upstreams of the `ledger` service have two slots each.
 pub struct LoadFleet {
     pub rig: FleetRig,
     pub flows: Vec<LoadFlow>,
 }
 
 impl LoadFleet {
-    /// Running hosts that know each other; flows to each upstream are spread over them.
+    /// Starts hosts that know each other, with flows to each upstream spread over the hosts.
     pub fn new(hosts: u16, counts: &[u16]) -> Self {
         Self::with_zones(1, hosts, counts)
     }
 
-    /// The same with other zones, which have no upstreams and no flows.
+    /// Like [`Self::new`], with additional zones that have no upstreams and no flows.
     pub fn with_zones(zones: u8, hosts: u16, counts: &[u16]) -> Self {
         let plan = FleetPlan {
             zones,
@@ -156,7 +162,7 @@
             zone: "zone-1".into(),
             ..entry(number, "ledger")
         });
-        rig.items = std::iter::once(routes_item(1, usual_routes(1)))
+        rig.items = std::iter::once(routes_item(1, default_routes(1)))
             .chain(entries.map(|entry| upstream_item(2, entry)))
             .collect();
         rig.start_all();
@@ -168,14 +174,14 @@
         Self { rig, flows }
     }
 
-    /// Lets the flows work for a time. Flows of dead hosts stand still.
-    pub fn work(&mut self, millis: u64) {
-        for _turn in 0..millis / (2 * HALF_TURN) {
+    /// Sends requests and responses of the flows for `millis`. Flows of dead or frozen hosts pause.
+    pub fn run_flows(&mut self, millis: u64) {
+        for _cycle in 0..millis / (2 * HALF_CYCLE_MS) {
             for is_request in [true, false] {
                 for flow in &mut self.flows {
                     let head = match is_request {
                         true => flow.request(),
-                        false => flow.response(USUAL_BYTES),
+                        false => flow.response(RESPONSE_BYTES),
                     };
                     let host = &mut self.rig.hosts[flow.host];
                     let frozen = self.rig.now < host.frozen_until.unwrap_or(self.rig.now);
@@ -184,20 +190,20 @@
                         host.core.packet(self.rig.now, &head, &mut output);
                     }
                 }
-                self.rig.pass(HALF_TURN);
+                self.rig.pass(HALF_CYCLE_MS);
             }
         }
     }
 
-    /// Hosts that run and regard the ledger as contended.
+    /// Returns the number of live hosts that regard the `ledger` service as contended.
     pub fn contended_hosts(&self) -> usize {
         let now = self.rig.now;
         let hosts = self.rig.hosts.iter().filter(|host| host.alive);
-        let rooms = hosts.map(|host| host.core.load().room(now, 0));
-        rooms.filter(|room| room.is_contended).count()
+        let states = hosts.map(|host| host.core.load().room(now, 0));
+        states.filter(|state| state.is_contended).count()
     }
 
-    /// The load of the ledger's upstreams as a host knows it, in thousandths of a request.
+    /// Returns the load of each upstream as known to a host, in thousandths of a request.
     pub fn loads(&self, host: HostPlace) -> Vec<u32> {
         let upstreams = self.rig.hosts[host].core.upstreams();
         let members = upstreams.pool(0).local.iter();
@@ -209,14 +215,15 @@
             .collect()
     }
 
-    /// Hosts whose counts a host's view of the ledger is from, and the age of the view.
-    pub fn view(&self, host: HostPlace) -> (u32, Duration) {
+    /// Returns the number of hosts whose counts a host's load of the service is based on, and its
+    /// age.
+    pub fn load_status(&self, host: HostPlace) -> (u32, Duration) {
         let load = self.rig.hosts[host].core.load();
         let status = load.status(self.rig.now, 0).expect("the ledger is known");
         (status.reporters, status.age.unwrap_or(Duration::MAX))
     }
 
-    /// The hosts that aggregate.
+    /// Returns the hosts that aggregate load reports.
     pub fn aggregators(&self) -> Vec<HostPlace> {
         let hosts = self.rig.hosts.iter().enumerate();
         let aggregating = hosts.filter(|(_place, host)| host.core.load().is_aggregator());
--- a/packet/tests/runner.rs
+++ b/packet/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The tests of the packet path's decisions, in one program so that linking is fast.
+//! All tests of the packet path's decisions, in one binary to reduce linking time.
 
 mod admission_rig;
 mod core_rig;
@@ -12,32 +12,32 @@
 mod test_allocations;
 mod test_answer_record;
 mod test_class_admission;
+mod test_contended_queues;
+mod test_contended_selection;
 mod test_dispatch;
 mod test_dispatch_fleet;
 mod test_failing_upstreams;
 mod test_failure_detector;
 mod test_fleet_reading;
 mod test_flow_cost;
-mod test_flow_evidence;
 mod test_flow_load;
+mod test_flow_tracker;
 mod test_load_exchange;
 mod test_load_failures;
 mod test_load_reports;
 mod test_lost_upstreams;
 mod test_moved_callers;
 mod test_names;
-mod test_opening_admission;
 mod test_packet_core;
 mod test_peer_table;
 mod test_read_role;
 mod test_restored_fleet;
 mod test_restored_store;
-mod test_room_queue;
-mod test_room_selection;
 mod test_route_table;
 mod test_start_plan;
 mod test_state_snapshot;
 mod test_store_feed;
+mod test_syn_deferral;
 mod test_upstream_selection;
 mod test_warmup_admission;
 mod test_zone_evacuation;
--- a/packet/tests/test_admission_state.rs
+++ b/packet/tests/test_admission_state.rs
@@ -1,4 +1,5 @@
-//! Tests of what a host remembers for admission by class: deferred flows, callers, and the budget of hedges.
+//! Tests of the state of admission by class: deferred flows, heavy callers, admission pressure and
+//! the budget of hedges.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -13,13 +14,13 @@
 use lagoonproxy_packet::admission::caller_share::MAX_TRACKED_CLASSES;
 use lagoonproxy_packet::admission::caller_share::SHARE_WINDOW;
 use lagoonproxy_packet::admission::class_admission::ClassAdmissionConfig;
-use lagoonproxy_packet::admission::class_admission::SynVerdict;
-use lagoonproxy_packet::admission::class_admission::WHOLE_SHARE;
-use lagoonproxy_packet::admission::class_admission::syn_draw;
+use lagoonproxy_packet::admission::class_admission::FULL_SHARE;
+use lagoonproxy_packet::admission::class_admission::SynDecision;
+use lagoonproxy_packet::admission::class_admission::syn_sample;
 use lagoonproxy_packet::admission::deferred_syns::DeferredSyns;
 use lagoonproxy_packet::admission::deferred_syns::MAX_DEFERRED;
 use lagoonproxy_packet::flows::flow_table::FlowKey;
-use lagoonproxy_packet::load::service_room::ServiceRoom;
+use lagoonproxy_packet::load::load_state::ContentionState;
 use lagoonproxy_packet::routes::route_config::RequestPriority;
 use lagoonproxy_packet::routes::route_table::RequestClass;
 use lagoonproxy_packet::selection::upstream_selection::SelectionQuery;
@@ -27,8 +28,8 @@
 
 use crate::core_rig::*;
 
-const QUEUE_FULL: SynVerdict = SynVerdict::Defer(ResultCode::QueueFull);
-const PRIORITY_REFUSED: SynVerdict = SynVerdict::Refuse(ResultCode::PriorityRefused);
+const QUEUE_FULL: SynDecision = SynDecision::Defer(ResultCode::QueueFull);
+const PRIORITY_REFUSED: SynDecision = SynDecision::Refuse(ResultCode::PriorityRefused);
 
 fn key(number: u16) -> FlowKey {
     FlowKey {
@@ -37,14 +38,16 @@
     }
 }
 
-/// A SYN of a service far above its room, with draws that are beyond the minimum share.
+/// A SYN of a service far above its capacity, with sample values above the minimum share.
 fn syn(number: u16, copy: u32) -> SynArrival {
-    let is_high = |hash: &u64| (0..3).all(|copy| syn_draw(*hash, copy) >= WHOLE_SHARE / 2);
+    let is_high = |hash: &u64| (0..3).all(|copy| syn_sample(*hash, copy) >= FULL_SHARE / 2);
     SynArrival {
         key: key(number),
-        flow_hash: (0..).find(is_high).expect("some hash is"),
+        flow_hash: (0..)
+            .find(is_high)
+            .expect("some hash has high sample values"),
         service: 0,
-        room: ServiceRoom {
+        room: ContentionState {
             pressure: 30_000,
             is_contended: true,
             updated_at: None,
@@ -63,15 +66,15 @@
 }
 
 enum Step {
-    /// A copy arrives and gets this.
-    Syn(u32, SynVerdict),
-    /// A copy arrives while a slot is free.
+    /// A SYN with this copy number arrives and gets this decision.
+    Syn(u32, SynDecision),
+    /// A SYN with this copy number arrives while a slot is free.
     Placed(u32),
-    /// Milliseconds pass, with ticks.
-    Pass(u64),
+    /// So many milliseconds pass, followed by a tick.
+    Elapse(u64),
     /// The process was stalled.
     Stall,
-    /// The first SYNs of as many other flows as are remembered are deferred.
+    /// First SYNs of other flows are deferred until the table is full.
     Fill,
 }
 
@@ -87,86 +90,86 @@
             name: "deferred twice by this host",
             steps: &[
                 Step::Syn(0, QUEUE_FULL),
-                Step::Pass(200),
+                Step::Elapse(200),
                 Step::Syn(1, QUEUE_FULL),
-                Step::Pass(400),
+                Step::Elapse(400),
                 Step::Syn(2, PRIORITY_REFUSED),
             ],
         },
         Case {
-            name: "the first copy went to another host",
+            name: "the first SYN went to another host",
             steps: &[
                 Step::Syn(1, QUEUE_FULL),
-                Step::Pass(400),
-                Step::Syn(2, SynVerdict::Admit),
+                Step::Elapse(400),
+                Step::Syn(2, SynDecision::Admit),
             ],
         },
         Case {
-            name: "the second copy went to another host",
+            name: "the first retransmission went to another host",
             steps: &[
                 Step::Syn(0, QUEUE_FULL),
-                Step::Pass(600),
-                Step::Syn(2, SynVerdict::Admit),
+                Step::Elapse(600),
+                Step::Syn(2, SynDecision::Admit),
             ],
         },
         Case {
-            name: "the second copy was placed by this host, which does not remember where",
+            name: "the first retransmission was placed by this host, which no longer tracks the flow",
             steps: &[
                 Step::Syn(0, QUEUE_FULL),
-                Step::Pass(200),
+                Step::Elapse(200),
                 Step::Placed(1),
-                Step::Pass(400),
-                Step::Syn(2, SynVerdict::Admit),
+                Step::Elapse(400),
+                Step::Syn(2, SynDecision::Admit),
             ],
         },
         Case {
-            name: "the network duplicated the first copy, which came after the second",
+            name: "the network duplicated the first SYN, and the duplicate arrived after the first retransmission",
             steps: &[
                 Step::Syn(0, QUEUE_FULL),
                 Step::Syn(1, QUEUE_FULL),
                 Step::Syn(0, QUEUE_FULL),
-                Step::Pass(400),
-                Step::Syn(2, SynVerdict::Admit),
+                Step::Elapse(400),
+                Step::Syn(2, SynDecision::Admit),
             ],
         },
         Case {
-            name: "longer ago than callers wait",
+            name: "the SYNs were deferred longer ago than callers wait",
             steps: &[
                 Step::Syn(0, QUEUE_FULL),
                 Step::Syn(1, QUEUE_FULL),
-                Step::Pass(1600),
-                Step::Syn(2, SynVerdict::Admit),
+                Step::Elapse(1600),
+                Step::Syn(2, SynDecision::Admit),
             ],
         },
         Case {
-            name: "a stall between the copies",
+            name: "a stall between the SYNs",
             steps: &[
                 Step::Syn(0, QUEUE_FULL),
                 Step::Syn(1, QUEUE_FULL),
                 Step::Stall,
-                Step::Syn(2, SynVerdict::Admit),
+                Step::Syn(2, SynDecision::Admit),
             ],
         },
         Case {
-            name: "SYNs that waited in the socket during a stall",
+            name: "SYNs queued in the socket during a stall",
             steps: &[
                 Step::Stall,
                 Step::Syn(0, QUEUE_FULL),
                 Step::Syn(1, QUEUE_FULL),
-                Step::Syn(2, SynVerdict::Admit),
-                Step::Pass(1600),
+                Step::Syn(2, SynDecision::Admit),
+                Step::Elapse(1600),
                 Step::Syn(0, QUEUE_FULL),
                 Step::Syn(1, QUEUE_FULL),
                 Step::Syn(2, PRIORITY_REFUSED),
             ],
         },
         Case {
-            name: "more flows than are remembered",
+            name: "the table of deferred flows is full",
             steps: &[
                 Step::Fill,
                 Step::Syn(0, QUEUE_FULL),
                 Step::Syn(1, QUEUE_FULL),
-                Step::Syn(2, SynVerdict::Admit),
+                Step::Syn(2, SynDecision::Admit),
             ],
         },
     ];
@@ -176,22 +179,22 @@
         for step in case.steps {
             match step {
                 Step::Syn(copy, expected) => {
-                    let verdict = state.judge(now, &syn(1, *copy)).1;
-                    assert_eq!(verdict, *expected, "{}, copy {copy}", case.name);
+                    let decision = state.evaluate(now, &syn(1, *copy)).1;
+                    assert_eq!(decision, *expected, "{}, copy {copy}", case.name);
                 }
                 Step::Placed(copy) => {
                     let mut syn = syn(1, *copy);
                     syn.has_free_slot = true;
-                    assert_eq!(state.judge(now, &syn).1, SynVerdict::Admit);
+                    assert_eq!(state.evaluate(now, &syn).1, SynDecision::Admit);
                 }
-                Step::Pass(millis) => {
+                Step::Elapse(millis) => {
                     now += Duration::from_millis(*millis);
                     state.tick(now);
                 }
                 Step::Stall => state.restart(now),
                 Step::Fill => {
                     for number in 100..100 + MAX_DEFERRED as u16 {
-                        state.judge(now, &syn(number, 0));
+                        state.evaluate(now, &syn(number, 0));
                     }
                 }
             }
@@ -201,7 +204,7 @@
 
 #[test]
 fn test_deferred_flows_are_bounded() {
-    // Guards against a rush that fills the memory of a host.
+    // Guards against unbounded memory use in a burst.
     let mut deferred = DeferredSyns::default();
     let now = Instant::now();
     for number in 0..10_000 {
@@ -214,12 +217,13 @@
 
 #[test]
 fn test_callers_with_far_more_flows_are_heavy() {
-    // Guards against ordinary callers that are taken for heavy ones by chance, and heavy ones that are not found.
+    // Guards against ordinary callers that are classified as heavy by chance, and against heavy
+    // callers that are not detected.
     struct Case {
         name: &'static str,
         callers: u32,
         flows: u32,
-        hot_flows: u32,
+        heavy_flows: u32,
         is_heavy: bool,
     }
     let cases = [
@@ -227,35 +231,35 @@
             name: "ten times the flows of 19 others",
             callers: 19,
             flows: 4,
-            hot_flows: 40,
+            heavy_flows: 40,
             is_heavy: true,
         },
         Case {
             name: "three times those of 99 others",
             callers: 99,
             flows: 4,
-            hot_flows: 12,
+            heavy_flows: 12,
             is_heavy: false,
         },
         Case {
-            name: "one flow among many callers with one",
+            name: "one flow, among many callers with one flow each",
             callers: 500,
             flows: 1,
-            hot_flows: 1,
+            heavy_flows: 1,
             is_heavy: false,
         },
         Case {
             name: "one of two callers",
             callers: 1,
             flows: 1,
-            hot_flows: 3,
+            heavy_flows: 3,
             is_heavy: false,
         },
         Case {
             name: "the only caller",
             callers: 0,
             flows: 0,
-            hot_flows: 100,
+            heavy_flows: 100,
             is_heavy: false,
         },
     ];
@@ -269,7 +273,7 @@
                 shares.record_flow(at, 3, 1, address(number));
             }
         }
-        for _flow in 0..case.hot_flows {
+        for _flow in 0..case.heavy_flows {
             shares.record_flow(start + Duration::from_secs(4), 3, 1, address(0));
         }
         let heavy = |shares: &CallerShares, rank| shares.is_heavy(3, rank, address(0));
@@ -290,7 +294,7 @@
 
 #[test]
 fn test_callers_of_few_classes_are_tracked() {
-    // Guards against a host with many contended classes whose memory fills.
+    // Guards against unbounded memory use on a host with many contended classes.
     let mut shares = CallerShares::default();
     let now = Instant::now();
     let tracked = MAX_TRACKED_CLASSES as u32;
@@ -302,14 +306,14 @@
             }
         }
     }
-    let hot = Ipv4Addr::from_bits(0);
-    assert!(shares.is_heavy(tracked - 1, 0, hot));
-    assert!(!shares.is_heavy(tracked, 0, hot));
+    let heavy_caller = Ipv4Addr::from_bits(0);
+    assert!(shares.is_heavy(tracked - 1, 0, heavy_caller));
+    assert!(!shares.is_heavy(tracked, 0, heavy_caller));
 }
 
 #[test]
 fn test_hedges_stay_within_their_budget() {
-    // Guards against hedges that take the room of requests while a service is contended.
+    // Guards against hedges that use up the capacity of a contended service.
     let mut state = AdmissionState::new(ClassAdmissionConfig::default());
     let now = Instant::now();
     let spent = |state: &mut AdmissionState| (0..100).filter(|_| state.spend_hedge()).count();
@@ -317,60 +321,60 @@
     for number in 0..50 {
         let mut syn = syn(number, 0);
         syn.has_free_slot = true;
-        state.judge(now, &syn);
+        state.evaluate(now, &syn);
     }
     assert!((4..=5).contains(&spent(&mut state)), "one per ten flows");
     for number in 100..200 {
-        state.judge(now, &syn(number, 0));
+        state.evaluate(now, &syn(number, 0));
     }
-    assert_eq!(spent(&mut state), 0, "deferred flows earn none");
+    assert_eq!(spent(&mut state), 0, "deferred flows add no hedges");
 }
 
 #[test]
-fn test_sound_syns_are_hedged_in_calm_only() {
+fn test_hedges_to_healthy_upstreams_stop_under_contention() {
     struct Case {
         name: &'static str,
-        proved: bool,
+        is_proven: bool,
         is_contended: bool,
         is_hedged: bool,
     }
     let cases = [
         Case {
-            name: "sound, calm",
-            proved: true,
+            name: "healthy upstreams, not contended",
+            is_proven: true,
             is_contended: false,
             is_hedged: true,
         },
         Case {
-            name: "sound, contended",
-            proved: true,
+            name: "healthy upstreams, contended",
+            is_proven: true,
             is_contended: true,
             is_hedged: false,
         },
         Case {
-            name: "in doubt, contended",
-            proved: false,
+            name: "unproven upstreams, contended",
+            is_proven: false,
             is_contended: true,
             is_hedged: true,
         },
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2]);
-        for flow in 0..if case.proved { 6 } else { 0 } {
+        for flow in 0..if case.is_proven { 6 } else { 0 } {
             rig.establish(flow);
         }
         let upstreams = rig.core.upstreams();
         let query = SelectionQuery {
             now: rig.now,
-            service: upstreams.records().next().expect("two").service,
+            service: upstreams.records().next().expect("two upstreams").service,
             flow_hash: 1,
             local_hosts: 1,
             tried: &[],
-            room: ServiceRoom {
+            room: ContentionState {
                 is_contended: case.is_contended,
                 ..Default::default()
             },
-            leaves_for: None,
+            spill_zone: None,
         };
         let selection = select_upstream(upstreams, query).expect("two upstreams");
         assert_eq!(selection.second.is_some(), case.is_hedged, "{}", case.name);
@@ -378,20 +382,21 @@
 }
 
 #[test]
-fn test_pressure_of_judgement_follows_the_room() {
-    // Guards against admitted shares that follow the pressure of the last second, and then overshoot.
+fn test_admission_pressure_follows_the_capacity() {
+    // Guards against admitted shares that follow the mean pressure of the last second and
+    // overshoot.
     struct Case {
         name: &'static str,
-        /// First SYNs a second.
+        /// First SYNs per second.
         offered: u32,
-        /// The pressure of the service in each quarter of a second.
+        /// Service pressure in each quarter of a second.
         service_pressures: &'static [u32],
-        /// The admitted share of the only class at the end.
+        /// Admitted share of the only class at the end.
         expected: std::ops::RangeInclusive<u32>,
     }
     let cases = [
         Case {
-            name: "no flows counted: the pressure of the service",
+            name: "no flows counted: service pressure",
             offered: 0,
             service_pressures: &[3500],
             expected: 550..=550,
@@ -409,25 +414,25 @@
             expected: 1000..=1000,
         },
         Case {
-            name: "a tenth was shed",
+            name: "a tenth of the requests is shed",
             offered: 400,
             service_pressures: &[4000],
             expected: 870..=890,
         },
         Case {
-            name: "the same of few flows",
+            name: "a tenth of the requests is shed, with few flows",
             offered: 4,
             service_pressures: &[4000],
             expected: 860..=900,
         },
         Case {
-            name: "half was shed: no less than half as many",
+            name: "half of the requests is shed: the rate at most halves",
             offered: 400,
             service_pressures: &[12_000],
             expected: 480..=520,
         },
         Case {
-            name: "no more is admitted as soon as the pressure falls",
+            name: "the admitted rate does not jump as soon as the pressure falls",
             offered: 400,
             service_pressures: &[12_000, 12_000, 1800, 1800, 1800, 1800],
             expected: 400..=700,
@@ -463,22 +468,27 @@
 }
 
 #[test]
-fn test_one_hot_caller_does_not_delay_the_others() {
-    // Guards against a caller that opens ten times as many flows as others and gets ten times the room.
+fn test_one_heavy_caller_does_not_delay_the_others() {
+    // Guards against a caller that opens ten times as many flows as others and gets ten times the
+    // capacity.
     let mut state = AdmissionState::new(ClassAdmissionConfig::default());
     let now = Instant::now();
     let mut admitted = [0; 2];
     for turn in 0..4000u32 {
-        let is_hot = turn % 2 == 0;
-        let number = if is_hot { 0 } else { 1 + turn / 2 % 40 };
+        let is_heavy_caller = turn % 2 == 0;
+        let number = if is_heavy_caller {
+            0
+        } else {
+            1 + turn / 2 % 40
+        };
         let mut syn = syn(0, 0);
         let address = Ipv4Addr::from_bits(0x6440_0000 + number);
         syn.key.caller = SocketAddrV4::new(address, turn as u16);
         syn.flow_hash = u64::from(turn).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         syn.room.pressure = 2500;
-        let verdict = state.judge(now, &syn).1;
-        admitted[usize::from(is_hot)] += u32::from(verdict == SynVerdict::Admit);
+        let decision = state.evaluate(now, &syn).1;
+        admitted[usize::from(is_heavy_caller)] += u32::from(decision == SynDecision::Admit);
     }
-    assert_eq!(admitted[0], 2000, "the others");
-    assert!(admitted[1] < 1000, "the hot one: {}", admitted[1]);
+    assert_eq!(admitted[0], 2000, "other callers");
+    assert!(admitted[1] < 1000, "heavy caller: {}", admitted[1]);
 }
--- a/packet/tests/test_allocations.rs
+++ b/packet/tests/test_allocations.rs
@@ -1,20 +1,21 @@
-//! Packets of open flows allocate nothing, so that their cost does not depend on the heap.
+//! Tests that packets of established flows and the selection of upstreams allocate no memory.
 
 use lagoonproxy_packet::flows::flow_cost::FlowCosts;
 use lagoonproxy_packet::packet_action::PacketOutput;
 use lagoonproxy_packet::packet_head::PacketHead;
-use lagoonproxy_packet::selection::room_weight::RoomMeasure;
+use lagoonproxy_packet::selection::load_weight::WeightMethod;
 
 use crate::core_rig::*;
-use crate::test_room_selection::KnownUpstream;
-use crate::test_room_selection::RoomRig;
+use crate::test_contended_selection::ContendedRig;
+use crate::test_contended_selection::KnownUpstream;
 
-/// A request, a copy of it, and the acknowledgement of its answer, on each flow.
-fn turn_heads(flows: &[(u16, u8)], turn: u32) -> Vec<PacketHead> {
+/// Returns a request, its retransmission and the acknowledgement of its response for each flow.
+fn request_heads(flows: &[(u16, u8)], turn: u32) -> Vec<PacketHead> {
     let heads = flows.iter().flat_map(|(flow, upstream)| {
-        let request = carry_head(*flow, *upstream, turn * 100, 1 + turn * 500, 100);
-        let answered = carry_head(*flow, *upstream, turn * 100 + 100, 501 + turn * 500, 0);
-        [request, request, answered]
+        let request = established_head(*flow, *upstream, turn * 100, 1 + turn * 500, 100);
+        let acknowledgement =
+            established_head(*flow, *upstream, turn * 100 + 100, 501 + turn * 500, 0);
+        [request, request, acknowledgement]
     });
     heads.collect()
 }
@@ -26,7 +27,7 @@
     let mut output = PacketOutput::default();
     let mut allocations = Vec::new();
     for turn in 0..2 {
-        let heads = turn_heads(&flows, turn);
+        let heads = request_heads(&flows, turn);
         let counted = allocation_counter::measure(|| {
             for head in &heads {
                 output.clear();
@@ -36,11 +37,11 @@
         });
         allocations.push(counted.count_total);
     }
-    assert_eq!(allocations[1], 0, "once the output has its room");
+    assert_eq!(allocations[1], 0, "no allocation once the output has grown");
 }
 
 #[test]
-fn test_selection_by_room_allocates_nothing() {
+fn test_selection_by_load_allocates_nothing() {
     // Guards against a heap allocation for each new flow while a service is contended.
     let upstream = KnownUpstream {
         slots: 2,
@@ -48,7 +49,7 @@
         response_ms: 20,
         warmup_ms: 0,
     };
-    let mut rig = RoomRig::new(RoomMeasure::default(), &[upstream; 40]);
+    let mut rig = ContendedRig::new(WeightMethod::default(), &[upstream; 40]);
     rig.table.learn_loads(&FlowCosts::default());
     let counted = allocation_counter::measure(|| {
         for flow_hash in 0..200 {
--- a/packet/tests/test_answer_record.rs
+++ b/packet/tests/test_answer_record.rs
@@ -82,7 +82,7 @@
         (0..case.failed).for_each(|_request| record.erred(now));
         record.add_elsewhere(case.elsewhere);
         assert_eq!(
-            record.judge(&OutlierConfig::default(), now),
+            record.evaluate(&OutlierConfig::default(), now),
             case.failing,
             "{}: changes",
             case.name
@@ -117,7 +117,7 @@
         let mut record = AnswerRecord::default();
         (0..60).for_each(|_request| record.served(at(case.served_at)));
         (0..3).for_each(|_request| record.unanswered(at(600), at(100)));
-        record.judge(&OutlierConfig::default(), at(600));
+        record.evaluate(&OutlierConfig::default(), at(600));
         assert_eq!(record.is_failing(), case.failing, "{}", case.name);
     }
 }
@@ -152,7 +152,7 @@
             if case.served_after == Some(millis) {
                 record.served(now);
             }
-            record.judge(&OutlierConfig::default(), now);
+            record.evaluate(&OutlierConfig::default(), now);
             if !record.is_failing() {
                 back = back.or(Some(millis));
             }
--- a/packet/tests/test_class_admission.rs
+++ b/packet/tests/test_class_admission.rs
@@ -1,54 +1,54 @@
-//! Tests of which SYNs of a contended service are admitted, deferred or refused, judged by what callers get.
+//! Tests of which SYNs of a contended service are admitted, deferred or refused.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::admission::class_admission::ClassAdmissionConfig;
+use lagoonproxy_packet::admission::class_admission::FULL_SHARE;
+use lagoonproxy_packet::admission::class_admission::SynDecision;
 use lagoonproxy_packet::admission::class_admission::SynQuery;
-use lagoonproxy_packet::admission::class_admission::SynVerdict;
-use lagoonproxy_packet::admission::class_admission::WHOLE_SHARE;
-use lagoonproxy_packet::admission::class_admission::judge_syn;
-use lagoonproxy_packet::admission::class_admission::syn_draw;
+use lagoonproxy_packet::admission::class_admission::decide_syn;
+use lagoonproxy_packet::admission::class_admission::syn_sample;
 use lagoonproxy_packet::admission::class_demand::ClassDemand;
 use lagoonproxy_packet::admission::class_demand::DemandRank;
-use lagoonproxy_packet::load::service_room::ServiceRoom;
+use lagoonproxy_packet::load::load_state::ContentionState;
 use lagoonproxy_packet::routes::route_config::RequestPriority;
 use lagoonproxy_packet::routes::route_table::RequestClass;
 use proptest::prelude::*;
 
-const QUEUE_FULL: SynVerdict = SynVerdict::Defer(ResultCode::QueueFull);
-const PRIORITY_REFUSED: SynVerdict = SynVerdict::Refuse(ResultCode::PriorityRefused);
-const FAIR_SHARE: SynVerdict = SynVerdict::Refuse(ResultCode::FairShareExceeded);
-const DEADLINE_PASSED: SynVerdict = SynVerdict::Refuse(ResultCode::DeadlinePassed);
+const QUEUE_FULL: SynDecision = SynDecision::Defer(ResultCode::QueueFull);
+const PRIORITY_REFUSED: SynDecision = SynDecision::Refuse(ResultCode::PriorityRefused);
+const FAIR_SHARE: SynDecision = SynDecision::Refuse(ResultCode::FairShareExceeded);
+const DEADLINE_PASSED: SynDecision = SynDecision::Refuse(ResultCode::DeadlinePassed);
 
-/// Flows of each load case.
+/// Number of flows over which an admitted share is measured.
 const FLOWS: u64 = 2000;
 
-fn room(pressure: u32) -> ServiceRoom {
-    ServiceRoom {
+fn room(pressure: u32) -> ContentionState {
+    ContentionState {
         pressure,
         is_contended: true,
         updated_at: None,
     }
 }
 
-/// The first SYN of a class at a pressure, with an objective of 250 ms and a timeout of 3 s.
-fn query(pressure: u32, demand_rank: u8, demanding_classes: u8) -> SynQuery {
+/// The first SYN of a class at a pressure, with a latency objective of 250 ms and a timeout of 3 s.
+fn query(pressure: u32, demand_rank: u8, classes_with_demand: u8) -> SynQuery {
     SynQuery {
         room: room(pressure),
         pressure,
         class: RequestClass {
             rank: demand_rank,
-            classes: demanding_classes,
+            classes: classes_with_demand,
             priority: RequestPriority(u32::from(demand_rank)),
         },
         demand_rank,
-        demanding_classes,
+        classes_with_demand,
         copy: 0,
         flow_hash: 1,
         placed_before: false,
-        deferred_before: true,
+        known_unopened: true,
         has_free_slot: false,
         is_heavy_caller: false,
         target: Some(Duration::from_millis(250)),
@@ -56,31 +56,34 @@
     }
 }
 
-/// A flow hash whose draw for a copy is the largest, so that it is admitted only if all are.
-fn last_hash(copy: u32) -> u64 {
-    let hash = (0..).find(|hash| syn_draw(*hash, copy) == WHOLE_SHARE - 1);
-    hash.expect("some hash has it")
+/// Returns a flow hash with the largest sample value for a copy number, so that the SYN is
+/// admitted only if all SYNs are.
+fn hash_with_max_sample(copy: u32) -> u64 {
+    let hash = (0..).find(|hash| syn_sample(*hash, copy) == FULL_SHARE - 1);
+    hash.expect("some hash has the largest sample value")
 }
 
-fn judge(query: &SynQuery) -> SynVerdict {
-    judge_syn(&ClassAdmissionConfig::default(), query)
+fn evaluate(query: &SynQuery) -> SynDecision {
+    decide_syn(&ClassAdmissionConfig::default(), query)
 }
 
-/// How many of [`FLOWS`] flows are admitted with a copy that is like `query`, in thousandths.
+/// Returns the share of [`FLOWS`] flows whose SYN is admitted if it is otherwise like `query`, in
+/// thousandths.
 fn admitted_share(query: SynQuery) -> u64 {
     let admitted = (0..FLOWS).filter(|flow_hash| {
         let query = SynQuery {
             flow_hash: flow_hash.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             ..query
         };
-        judge(&query) == SynVerdict::Admit
+        evaluate(&query) == SynDecision::Admit
     });
     admitted.count() as u64 * 1000 / FLOWS
 }
 
 #[test]
 fn test_a_class_is_admitted_by_its_rank_and_the_pressure() {
-    // Guards against urgent requests that are deferred as early as others, and classes that starve.
+    // Guards against urgent requests that are deferred as early as others, and against classes that
+    // starve.
     struct Case {
         name: &'static str,
         pressure: u32,
@@ -89,27 +92,27 @@
     }
     let cases = [
         Case {
-            name: "contended, but hardly",
+            name: "barely contended",
             pressure: 1750,
             expected: &[1000, 1000, 1000],
         },
         Case {
-            name: "burst of the least urgent class",
+            name: "overload by the least urgent class",
             pressure: 2625,
             expected: &[1000, 1000, 550],
         },
         Case {
-            name: "burst of all classes",
+            name: "overload by all classes",
             pressure: 5875,
             expected: &[1000, 550, 100],
         },
         Case {
-            name: "the most urgent class exceeds the room alone",
+            name: "the most urgent class alone exceeds the capacity",
             pressure: 9125,
             expected: &[550, 100, 100],
         },
         Case {
-            name: "room that halved within a second",
+            name: "capacity halved within a second",
             pressure: 12_000,
             expected: &[100, 100, 100],
         },
@@ -119,7 +122,7 @@
             expected: &[550],
         },
         Case {
-            name: "only class, hardly contended",
+            name: "only class, barely contended",
             pressure: 2500,
             expected: &[1000],
         },
@@ -129,7 +132,7 @@
             expected: &[1000, 871],
         },
         Case {
-            name: "the same with two in the queue",
+            name: "a service with one slot that has one request in progress and two in the queue",
             pressure: 3000,
             expected: &[1000, 357],
         },
@@ -142,7 +145,7 @@
             let bound = if *expected == 1000 { 0 } else { 40 };
             assert!(
                 difference <= bound,
-                "{}, rank {rank}: {share} for {expected}",
+                "{}, rank {rank}: {share} instead of {expected}",
                 case.name
             );
         }
@@ -150,23 +153,23 @@
 }
 
 #[test]
-fn test_what_a_caller_gets_that_is_not_drawn() {
+fn test_decisions_outside_the_admitted_share() {
     struct Case {
         name: &'static str,
         query: SynQuery,
-        expected: SynVerdict,
+        expected: SynDecision,
     }
     let base = query(3500, 1, 2);
     let copy = |copy: u32| SynQuery { copy, ..base };
     let millis = |millis: u64| Some(Duration::from_millis(millis));
     let cases = [
         Case {
-            name: "first copy, and the next comes within the objective",
+            name: "first SYN, and the next comes within the objective",
             query: base,
             expected: QUEUE_FULL,
         },
         Case {
-            name: "first copy, and the next comes after the objective but before the timeout",
+            name: "first SYN, and the next comes after the objective but before the timeout",
             query: SynQuery {
                 target: millis(150),
                 ..base
@@ -174,7 +177,7 @@
             expected: QUEUE_FULL,
         },
         Case {
-            name: "first copy, and the next comes after the objective and the timeout",
+            name: "first SYN, and the next comes after the objective and the timeout",
             query: SynQuery {
                 target: millis(150),
                 timeout: millis(200),
@@ -183,7 +186,7 @@
             expected: PRIORITY_REFUSED,
         },
         Case {
-            name: "first copy without an objective or a timeout",
+            name: "first SYN without an objective or a timeout",
             query: SynQuery {
                 target: None,
                 timeout: None,
@@ -192,7 +195,7 @@
             expected: QUEUE_FULL,
         },
         Case {
-            name: "second copy, and the last comes after the objective",
+            name: "first retransmission, and the last one comes after the objective",
             query: SynQuery {
                 target: millis(500),
                 pressure: 9000,
@@ -201,7 +204,7 @@
             expected: PRIORITY_REFUSED,
         },
         Case {
-            name: "second copy, and the last comes within the objective",
+            name: "first retransmission, and the last one comes within the objective",
             query: SynQuery {
                 target: millis(1500),
                 pressure: 9000,
@@ -210,7 +213,7 @@
             expected: QUEUE_FULL,
         },
         Case {
-            name: "second copy without an objective",
+            name: "first retransmission without an objective",
             query: SynQuery {
                 target: None,
                 pressure: 9000,
@@ -219,27 +222,27 @@
             expected: QUEUE_FULL,
         },
         Case {
-            name: "last copy",
+            name: "last retransmission",
             query: copy(2),
             expected: PRIORITY_REFUSED,
         },
         Case {
-            name: "a copy that callers do not send",
+            name: "a retransmission that callers do not send",
             query: copy(u32::MAX),
             expected: PRIORITY_REFUSED,
         },
         Case {
-            name: "last copy of a flow that another host may have opened",
+            name: "last retransmission of a flow that another host may have opened",
             query: SynQuery {
-                deferred_before: false,
+                known_unopened: false,
                 ..copy(2)
             },
-            expected: SynVerdict::Admit,
+            expected: SynDecision::Admit,
         },
         Case {
-            name: "second copy of a flow that another host may have opened, while the next is in time",
+            name: "first retransmission of a flow that another host may have opened, while the next is in time",
             query: SynQuery {
-                deferred_before: false,
+                known_unopened: false,
                 target: millis(1500),
                 pressure: 9000,
                 ..copy(1)
@@ -250,19 +253,19 @@
             name: "a flow that this host has placed",
             query: SynQuery {
                 placed_before: true,
-                deferred_before: false,
+                known_unopened: false,
                 ..copy(1)
             },
-            expected: SynVerdict::Admit,
+            expected: SynDecision::Admit,
         },
         Case {
-            name: "a free slot is known",
+            name: "an upstream is known to have a free slot",
             query: SynQuery {
                 has_free_slot: true,
                 is_heavy_caller: true,
                 ..base
             },
-            expected: SynVerdict::Admit,
+            expected: SynDecision::Admit,
         },
         Case {
             name: "older than the timeout, though a slot is free",
@@ -277,13 +280,13 @@
             name: "older than the timeout, and another host may have opened the flow",
             query: SynQuery {
                 timeout: millis(500),
-                deferred_before: false,
+                known_unopened: false,
                 ..copy(2)
             },
-            expected: SynVerdict::Admit,
+            expected: SynDecision::Admit,
         },
         Case {
-            name: "hot caller at a pressure at which its class is admitted",
+            name: "heavy caller at a pressure at which its class is admitted",
             query: SynQuery {
                 pressure: 1750,
                 is_heavy_caller: true,
@@ -292,7 +295,7 @@
             expected: QUEUE_FULL,
         },
         Case {
-            name: "last copy of a hot caller at that pressure",
+            name: "last retransmission of a heavy caller at that pressure",
             query: SynQuery {
                 pressure: 1750,
                 is_heavy_caller: true,
@@ -301,7 +304,7 @@
             expected: FAIR_SHARE,
         },
         Case {
-            name: "last copy of a hot caller at a pressure at which others are refused as well",
+            name: "last retransmission of a heavy caller at a pressure at which others are refused as well",
             query: SynQuery {
                 is_heavy_caller: true,
                 ..copy(2)
@@ -309,26 +312,27 @@
             expected: PRIORITY_REFUSED,
         },
         Case {
-            name: "others beside the hot caller",
+            name: "a caller other than the heavy caller",
             query: SynQuery {
                 pressure: 1750,
                 ..base
             },
-            expected: SynVerdict::Admit,
+            expected: SynDecision::Admit,
         },
     ];
     for case in cases {
         let query = SynQuery {
-            flow_hash: last_hash(case.query.copy),
+            flow_hash: hash_with_max_sample(case.query.copy),
             ..case.query
         };
-        assert_eq!(judge(&query), case.expected, "{}", case.name);
+        assert_eq!(evaluate(&query), case.expected, "{}", case.name);
     }
 }
 
 #[test]
-fn test_callers_that_have_waited_go_first() {
-    // Guards against a rush after a return in which copies wait behind the first SYNs of later callers.
+fn test_callers_that_have_waited_are_admitted_first() {
+    // Guards against retransmissions that wait behind the first SYNs of later callers in a burst
+    // after an outage.
     struct Case {
         name: &'static str,
         copy: u32,
@@ -337,31 +341,31 @@
     }
     let cases = [
         Case {
-            name: "first copy",
+            name: "first SYN",
             copy: 0,
             target_ms: Some(1500),
             expected: 100,
         },
         Case {
-            name: "second copy",
+            name: "first retransmission",
             copy: 1,
             target_ms: Some(1500),
             expected: 486,
         },
         Case {
-            name: "last copy",
+            name: "last retransmission",
             copy: 2,
             target_ms: Some(1500),
             expected: 871,
         },
         Case {
-            name: "last copy without an objective",
+            name: "last retransmission without an objective",
             copy: 2,
             target_ms: None,
             expected: 871,
         },
         Case {
-            name: "last copy that is late",
+            name: "last retransmission, after the objective",
             copy: 2,
             target_ms: Some(600),
             expected: 100,
@@ -384,10 +388,10 @@
 
 #[test]
 fn test_only_classes_with_demand_have_a_rank() {
-    // Guards against an unused priority that moves the ramps of the others.
+    // Guards against an unused class that moves the ramps of the other classes.
     struct Case {
         name: &'static str,
-        /// Rank and milliseconds since the last demand of each class.
+        /// Rank of each class, and milliseconds since its last demand.
         demands: &'static [(u8, u64)],
         rank: u8,
         expected: (u8, u8),
@@ -454,7 +458,7 @@
             copy,
             flow_hash,
             placed_before: flags[0],
-            deferred_before: flags[1],
+            known_unopened: flags[1],
             has_free_slot: flags[2],
             is_heavy_caller: flags[3],
             target: target.map(Duration::from_millis),
@@ -468,24 +472,24 @@
     /// Guards against a reset of a flow that may be open.
     #[test]
     fn test_no_flow_that_may_be_open_is_refused(query in any_query()) {
-        let may_be_open = query.placed_before || !query.deferred_before;
-        let refused = matches!(judge(&query), SynVerdict::Refuse(_));
+        let may_be_open = query.placed_before || !query.known_unopened;
+        let refused = matches!(evaluate(&query), SynDecision::Refuse(_));
         prop_assert!(!(may_be_open && refused));
     }
 
-    /// Guards against callers that wait or are refused while a slot is idle.
+    /// Guards against callers that are deferred or refused while a slot is free.
     #[test]
-    fn test_nobody_waits_while_a_slot_is_free(query in any_query()) {
+    fn test_no_syn_waits_while_a_slot_is_free(query in any_query()) {
         let query = SynQuery { has_free_slot: true, timeout: None, ..query };
-        prop_assert_eq!(judge(&query), SynVerdict::Admit);
+        prop_assert_eq!(evaluate(&query), SynDecision::Admit);
     }
 
-    /// Guards against a class that is never admitted, whatever the pressure and its rank.
+    /// Guards against a class that is never admitted at some pressure and rank.
     #[test]
     fn test_no_class_starves(query in any_query()) {
         let admitted = (0..200u64).filter(|turn| {
             let query = SynQuery { flow_hash: query.flow_hash ^ turn, timeout: None, ..query };
-            judge(&query) == SynVerdict::Admit
+            evaluate(&query) == SynDecision::Admit
         });
         prop_assert!(admitted.count() >= 5);
     }
@@ -493,24 +497,26 @@
     /// Guards against a less urgent class that is admitted where a more urgent one is not.
     #[test]
     fn test_more_urgent_classes_are_admitted_first(query in any_query()) {
-        prop_assume!(query.demand_rank > 0 && judge(&query) == SynVerdict::Admit);
+        prop_assume!(query.demand_rank > 0 && evaluate(&query) == SynDecision::Admit);
         let urgent = SynQuery { demand_rank: query.demand_rank - 1, ..query };
-        prop_assert_eq!(judge(&urgent), SynVerdict::Admit);
+        prop_assert_eq!(evaluate(&urgent), SynDecision::Admit);
     }
 
-    /// Guards against refusals that callers cannot tell from a lost packet, and deferrals without a next copy.
+    /// Guards against deferral of the last transmission, after which the caller sends no other SYN
+    /// and cannot tell the deferral from a lost packet.
     #[test]
-    fn test_only_copies_that_have_a_next_one_are_deferred(query in any_query()) {
-        let verdict = judge(&query);
-        prop_assert!(query.copy < 2 || !matches!(verdict, SynVerdict::Defer(_)));
+    fn test_last_retransmissions_are_never_deferred(query in any_query()) {
+        let decision = evaluate(&query);
+        prop_assert!(query.copy < 2 || !matches!(decision, SynDecision::Defer(_)));
     }
 }
 
 #[test]
-fn test_the_draw_is_the_same_on_every_host() {
-    // Guards against a draw that depends on the process or the build: hosts of two versions would differ.
-    let draws: Vec<u32> = (0..3).map(|copy| syn_draw(0x0123_4567, copy)).collect();
-    assert_eq!(draws, [337, 671, 318]);
-    let mean = (0..10_000).map(|hash| syn_draw(hash, 0)).sum::<u32>() / 10_000;
+fn test_sample_value_is_the_same_on_every_host() {
+    // Guards against a sample value that depends on the process or the build, since hosts of two
+    // versions would then decide differently.
+    let samples: Vec<u32> = (0..3).map(|copy| syn_sample(0x0123_4567, copy)).collect();
+    assert_eq!(samples, [337, 671, 318]);
+    let mean = (0..10_000).map(|hash| syn_sample(hash, 0)).sum::<u32>() / 10_000;
     assert!((485..=515).contains(&mean), "{mean}");
 }
--- a/packet/tests/test_room_queue.rs
+++ b/packet/tests/test_contended_queues.rs
@@ -1,12 +1,13 @@
-//! Selection in calm, by free room and by expected wait at the queues of a busy service.
+//! Compares selection for a contended service, by free capacity and by expected wait, with
+//! selection for one that is not contended, on the queues of a busy service.
 
-use lagoonproxy_packet::selection::room_weight::RoomMeasure;
+use lagoonproxy_packet::selection::load_weight::WeightMethod;
 
 use crate::queue_rig::QueueCase;
 use crate::queue_rig::QueueCounts;
 use crate::queue_rig::run_queues;
 
-/// Flows of one request, and flows of many.
+/// Requests per flow: a single one, and many.
 const REQUESTS: [u32; 2] = [1, 20];
 
 const UTILIZATIONS: [f64; 3] = [0.6, 0.8, 0.95];
@@ -26,9 +27,9 @@
     counts.response.0.as_secs_f64() / f64::from(counts.response.1.max(1))
 }
 
-fn queue_case(requests: u32, utilization: f64, measure: Option<RoomMeasure>) -> QueueCase {
+fn queue_case(requests: u32, utilization: f64, method: Option<WeightMethod>) -> QueueCase {
     QueueCase {
-        measure,
+        method,
         utilization,
         requests,
         is_one_slow: false,
@@ -37,7 +38,7 @@
     }
 }
 
-/// Runs `test` for each length of flows and each utilization.
+/// Runs `test` for each number of requests per flow and each utilization.
 fn for_each_load(test: impl Fn(u32, f64)) {
     for requests in REQUESTS {
         for utilization in UTILIZATIONS {
@@ -47,17 +48,18 @@
 }
 
 #[test]
-fn test_room_serves_more_than_selection_in_calm() {
-    // Guards against hosts that follow a digest together, fill the upstream that was empty and so shed more.
+fn test_weighted_selection_serves_more_than_uncontended_selection() {
+    // Guards against hosts that follow the same digest, overfill the upstream that was empty, and
+    // shed more requests.
     for_each_load(|requests, utilization| {
-        let [calm, free_room, expected_wait] = [
+        let [uncontended, free_capacity, expected_wait] = [
             None,
-            Some(RoomMeasure::FreeRoom),
-            Some(RoomMeasure::ExpectedWait),
+            Some(WeightMethod::FreeCapacity),
+            Some(WeightMethod::ExpectedWait),
         ]
-        .map(|measure| run_queues(queue_case(requests, utilization, measure)));
+        .map(|method| run_queues(queue_case(requests, utilization, method)));
         let name = format!("{requests} requests at {utilization}");
-        for counts in [&calm, &free_room, &expected_wait] {
+        for counts in [&uncontended, &free_capacity, &expected_wait] {
             println!(
                 "{name}: shed {:.3}, response {:.1} ms, busiest {:.2}",
                 shed_share(counts),
@@ -65,23 +67,26 @@
                 busiest_share(counts)
             );
         }
-        for counts in [&free_room, &expected_wait] {
-            assert!(shed_share(counts) < shed_share(&calm), "{name}: sheds more");
+        for counts in [&free_capacity, &expected_wait] {
             assert!(
-                mean_response(counts) < mean_response(&calm),
-                "{name}: answers later"
+                shed_share(counts) < shed_share(&uncontended),
+                "{name}: shed share is not lower"
+            );
+            assert!(
+                mean_response(counts) < mean_response(&uncontended),
+                "{name}: mean response time is not shorter"
             );
         }
     });
 }
 
 #[test]
-fn test_equals_are_balanced_at_load() {
+fn test_equal_upstreams_are_balanced_under_load() {
     // Guards against a busiest upstream with more than 1.20 times the mean load.
     for_each_load(|requests, utilization| {
         let case = QueueCase {
             seconds: (3, 33),
-            ..queue_case(requests, utilization, Some(RoomMeasure::default()))
+            ..queue_case(requests, utilization, Some(WeightMethod::default()))
         };
         let share = busiest_share(&run_queues(case));
         println!("{requests} requests at {utilization}: busiest {share:.2}");
@@ -94,8 +99,8 @@
 
 #[test]
 fn test_slow_upstream_gets_less_within_a_second() {
-    // Guards against new flows to an upstream that is five times slower since a second ago. Flows of 20 requests
-    // are few, so that the runs of several seeds are added up.
+    // Guards against new flows on an upstream that became five times slower a second ago. There are
+    // few flows of 20 requests, so the runs of several seeds are added up.
     for requests in REQUESTS {
         for utilization in UTILIZATIONS {
             let (mut slow, mut others) = (0, 0);
@@ -104,7 +109,7 @@
                     is_one_slow: true,
                     seconds: (3, 5),
                     seed,
-                    ..queue_case(requests, utilization, Some(RoomMeasure::default()))
+                    ..queue_case(requests, utilization, Some(WeightMethod::default()))
                 };
                 let counts = run_queues(case);
                 slow += counts.flows[0];
@@ -121,15 +126,16 @@
 }
 
 #[test]
-fn test_slow_upstream_always_gets_some() {
-    // Guards against an upstream that is left out for good because nothing shows that it has recovered.
+fn test_slow_upstream_still_gets_flows() {
+    // Guards against an upstream that never gets flows again because nothing shows that it has
+    // recovered.
     for requests in REQUESTS {
         let case = QueueCase {
             is_one_slow: true,
             seconds: (3, 18),
-            ..queue_case(requests, 0.8, Some(RoomMeasure::default()))
+            ..queue_case(requests, 0.8, Some(WeightMethod::default()))
         };
         let flows = run_queues(case).flows[0];
-        assert!(flows > 0, "{requests} requests: none");
+        assert!(flows > 0, "{requests} requests: no flows");
     }
 }
--- a/packet/tests/test_room_selection.rs
+++ b/packet/tests/test_contended_selection.rs
@@ -1,4 +1,4 @@
-//! Tests of where new flows of a contended service go, each with its load.
+//! Tests of upstream selection for new flows of a contended service.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,15 +8,15 @@
 use lagoonproxy_packet::flows::flow_cost::FlowCosts;
 use lagoonproxy_packet::ids::ServiceIndex;
 use lagoonproxy_packet::ids::UpstreamIndex;
-use lagoonproxy_packet::load::service_room::ServiceRoom;
-use lagoonproxy_packet::load::service_room::UpstreamLoad;
+use lagoonproxy_packet::load::load_state::ContentionState;
+use lagoonproxy_packet::load::load_state::UpstreamLoad;
 use lagoonproxy_packet::policy_config::PolicyConfig;
 use lagoonproxy_packet::routes::route_config::ConnectionLimit;
-use lagoonproxy_packet::selection::room_weight::RoomMeasure;
-use lagoonproxy_packet::selection::room_weight::RoomWeightConfig;
-use lagoonproxy_packet::selection::room_weight::draw_order;
-use lagoonproxy_packet::selection::room_weight::is_drawn_after;
-use lagoonproxy_packet::selection::room_weight::room_weight;
+use lagoonproxy_packet::selection::load_weight::LoadWeightConfig;
+use lagoonproxy_packet::selection::load_weight::WeightMethod;
+use lagoonproxy_packet::selection::load_weight::draw_rank;
+use lagoonproxy_packet::selection::load_weight::is_drawn_after;
+use lagoonproxy_packet::selection::load_weight::upstream_weight;
 use lagoonproxy_packet::selection::upstream_selection::FlowSelection;
 use lagoonproxy_packet::selection::upstream_selection::SelectionQuery;
 use lagoonproxy_packet::selection::upstream_selection::select_upstream;
@@ -26,22 +26,22 @@
 
 use crate::core_rig::*;
 
-const MEASURES: [RoomMeasure; 2] = [RoomMeasure::FreeRoom, RoomMeasure::ExpectedWait];
+const METHODS: [WeightMethod; 2] = [WeightMethod::FreeCapacity, WeightMethod::ExpectedWait];
 
-/// What is known of one upstream.
+/// Load of one upstream, as known from a digest.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownUpstream {
-    /// Requests that it works on at a time.
+    /// Requests that it processes at a time.
     pub slots: u32,
     /// Requests in progress, in thousandths.
     pub in_progress: u32,
     /// Mean response time, in milliseconds.
     pub response_ms: u64,
-    /// For how much longer it is slow after its start.
+    /// Remaining warmup time, in milliseconds.
     pub warmup_ms: u64,
 }
 
-/// A busy upstream like most.
+/// A busy upstream with the same load as the others.
 const EQUAL: KnownUpstream = KnownUpstream {
     slots: 2,
     in_progress: 1600,
@@ -49,7 +49,7 @@
     warmup_ms: 0,
 };
 
-/// An upstream five times slower, half a second after it became so.
+/// An upstream that became five times slower half a second ago.
 const SLOW: KnownUpstream = KnownUpstream {
     slots: 2,
     in_progress: 6000,
@@ -57,7 +57,7 @@
     warmup_ms: 0,
 };
 
-/// One that has just entered the pool.
+/// An upstream that has just joined the pool.
 const EMPTY: KnownUpstream = KnownUpstream {
     slots: 2,
     in_progress: 0,
@@ -65,7 +65,7 @@
     warmup_ms: 0,
 };
 
-/// One whose slots and queue are taken.
+/// An upstream whose slots and queue are full.
 const FULL: KnownUpstream = KnownUpstream {
     slots: 2,
     in_progress: 5500,
@@ -73,19 +73,19 @@
     warmup_ms: 0,
 };
 
-/// The upstreams of one service as one host sees them.
-pub struct RoomRig {
+/// The upstreams of one service as seen by one host.
+pub struct ContendedRig {
     /// The upstreams.
     pub table: UpstreamTable,
-    /// Their places, in the order in which they were given.
+    /// Indices of the upstreams, in the order in which they were added.
     pub members: Vec<UpstreamIndex>,
-    /// The present time.
+    /// The current time.
     pub now: Instant,
-    /// The load of the service.
-    pub room: ServiceRoom,
+    /// Contention state and load of the service.
+    pub room: ContentionState,
 }
 
-fn room_entry(number: usize, zone: &str) -> UpstreamEntry {
+fn numbered_entry(number: usize, zone: &str) -> UpstreamEntry {
     UpstreamEntry {
         name: format!("i-{number:04x}").into(),
         number: number as u64,
@@ -94,11 +94,11 @@
     }
 }
 
-impl RoomRig {
-    /// A host that holds a digest of these upstreams of its zone, measured just now.
-    pub fn new(measure: RoomMeasure, upstreams: &[KnownUpstream]) -> Self {
-        let room = RoomWeightConfig {
-            measure,
+impl ContendedRig {
+    /// Creates a host whose digest has just measured these upstreams of its zone.
+    pub fn new(method: WeightMethod, upstreams: &[KnownUpstream]) -> Self {
+        let room = LoadWeightConfig {
+            method,
             ..Default::default()
         };
         let config = PolicyConfig {
@@ -110,7 +110,7 @@
             table: UpstreamTable::new(ZONE.into(), age, config),
             members: Vec::new(),
             now: Instant::now(),
-            room: ServiceRoom {
+            room: ContentionState {
                 pressure: 900,
                 is_contended: true,
                 updated_at: None,
@@ -120,7 +120,7 @@
             let entry = UpstreamEntry {
                 slots: upstream.slots,
                 warmup_left: Duration::from_millis(upstream.warmup_ms),
-                ..room_entry(number, ZONE)
+                ..numbered_entry(number, ZONE)
             };
             let index = rig.table.register(rig.now, &entry);
             rig.members.push(index);
@@ -131,11 +131,11 @@
 
     /// Adds an upstream of another zone.
     fn add_remote(&mut self, zone: &str) {
-        let entry = room_entry(self.members.len(), zone);
+        let entry = numbered_entry(self.members.len(), zone);
         self.members.push(self.table.register(self.now, &entry));
     }
 
-    /// Puts what a digest says of one upstream in force.
+    /// Sets the measured load of one upstream.
     pub fn measure(&mut self, member: usize, in_progress: u32, response_ms: u64) {
         self.table.get_mut(self.members[member]).load = UpstreamLoad {
             in_progress,
@@ -145,8 +145,8 @@
         };
     }
 
-    /// Changes how many flows of this host wait for an answer.
-    pub fn waiting(&mut self, member: usize, change: i32) {
+    /// Changes the number of this host's flows that wait for a response.
+    pub fn change_waiting(&mut self, member: usize, change: i32) {
         let record = self.table.get_mut(self.members[member]);
         record.waiting = record.waiting.saturating_add_signed(change);
     }
@@ -155,8 +155,8 @@
         self.table.get(self.members[0]).service
     }
 
-    /// Selects for one flow of a host.
-    pub fn select(&self, flow_hash: u64, leaves_for: Option<&ZoneName>) -> FlowSelection {
+    /// Selects upstreams for a flow.
+    pub fn select(&self, flow_hash: u64, spill_zone: Option<&ZoneName>) -> FlowSelection {
         let query = SelectionQuery {
             now: self.now,
             service: self.service(),
@@ -164,12 +164,13 @@
             local_hosts: 30,
             tried: &[],
             room: self.room,
-            leaves_for,
+            spill_zone,
         };
         select_upstream(&self.table, query).expect("an upstream")
     }
 
-    /// How many of so many flows go to each upstream, of flows that sample the first ones.
+    /// Returns how many of `flows` flows go to each upstream. All flows sample the first
+    /// `max_sampled` ones.
     fn counts(&self, flows: u64) -> Vec<u32> {
         let length = self.members.len() as u64;
         let sampled = self.table.config().room.max_sampled;
@@ -177,8 +178,8 @@
         for flow in 0..flows {
             let flow_hash = rendezvous_weight(flow, 77);
             let first = self.select(flow_hash - flow_hash % length, None).first;
-            let place = self.members.iter().position(|index| *index == first);
-            counts[place.unwrap_or_default()] += 1;
+            let position = self.members.iter().position(|index| *index == first);
+            counts[position.unwrap_or_default()] += 1;
         }
         counts
     }
@@ -193,8 +194,8 @@
     }
 }
 
-/// The first upstream's flows, against the mean of the others.
-fn first_share(counts: &[u32]) -> f64 {
+/// Returns the flows of the first upstream divided by the mean of the others.
+fn first_upstream_share(counts: &[u32]) -> f64 {
     let others: u32 = counts[1..].iter().sum();
     f64::from(counts[0]) * (counts.len() - 1) as f64 / f64::from(others.max(1))
 }
@@ -206,15 +207,15 @@
 }
 
 #[test]
-fn test_the_odd_one_among_equals() {
-    // Guards against an upstream that draws flows in spite of its load, or gets none for ever.
+fn test_deviating_upstream_gets_its_share() {
+    // Guards against an upstream that attracts flows in spite of its load, or never gets any.
     struct Case {
         name: &'static str,
-        odd: KnownUpstream,
+        deviating: KnownUpstream,
         equals: usize,
         equal: KnownUpstream,
         flows: u64,
-        /// Flows of the odd one against those of an equal upstream, from and to.
+        /// Range of the deviating upstream's flows divided by the mean of the others.
         share: (f64, f64),
     }
     let one_slot = KnownUpstream {
@@ -222,14 +223,14 @@
         in_progress: 800,
         ..EQUAL
     };
-    let cold = KnownUpstream {
+    let warming = KnownUpstream {
         warmup_ms: 2000,
         ..EQUAL
     };
     let cases = [
         Case {
             name: "five times slower, among 3",
-            odd: SLOW,
+            deviating: SLOW,
             equals: 2,
             equal: EQUAL,
             flows: 20_000,
@@ -237,7 +238,7 @@
         },
         Case {
             name: "five times slower, among 40",
-            odd: SLOW,
+            deviating: SLOW,
             equals: 39,
             equal: EQUAL,
             flows: 40_000,
@@ -245,7 +246,7 @@
         },
         Case {
             name: "five times slower, among 5,000",
-            odd: SLOW,
+            deviating: SLOW,
             equals: 4999,
             equal: EQUAL,
             flows: 40_000,
@@ -253,31 +254,31 @@
         },
         Case {
             name: "half the slots",
-            odd: one_slot,
+            deviating: one_slot,
             equals: 9,
             equal: EQUAL,
             flows: 20_000,
             share: (0.4, 0.6),
         },
         Case {
-            name: "cold after its start",
-            odd: cold,
+            name: "warming up",
+            deviating: warming,
             equals: 9,
             equal: EQUAL,
             flows: 20_000,
             share: (0.5, 0.75),
         },
         Case {
-            name: "new and empty among full ones",
-            odd: EMPTY,
+            name: "new and empty among full upstreams",
+            deviating: EMPTY,
             equals: 9,
             equal: FULL,
             flows: 20_000,
             share: (5.0, 500.0),
         },
         Case {
-            name: "no different, but one request more",
-            odd: KnownUpstream {
+            name: "equal except for one more request",
+            deviating: KnownUpstream {
                 in_progress: 2600,
                 ..EQUAL
             },
@@ -288,16 +289,16 @@
         },
     ];
     for case in cases {
-        for measure in MEASURES {
-            let mut upstreams = vec![case.odd];
+        for method in METHODS {
+            let mut upstreams = vec![case.deviating];
             upstreams.resize(case.equals + 1, case.equal);
-            let counts = RoomRig::new(measure, &upstreams).counts(case.flows);
-            let share = first_share(&counts);
+            let counts = ContendedRig::new(method, &upstreams).counts(case.flows);
+            let share = first_upstream_share(&counts);
             let (from, to) = case.share;
             let name = case.name;
             assert!(
                 from <= share && share < to,
-                "{name}, {measure:?}: a share of {share}"
+                "{name}, {method:?}: a share of {share}"
             );
         }
     }
@@ -305,7 +306,7 @@
 
 #[test]
 fn test_equals_get_equal_shares() {
-    // Guards against imbalance among equals, whatever their common load.
+    // Guards against imbalance among equal upstreams, at any common load.
     struct Case {
         name: &'static str,
         equal: KnownUpstream,
@@ -333,58 +334,59 @@
             digest_ms: 0,
         },
         Case {
-            name: "no digest for long",
+            name: "no digest for 5 s",
             equal: EQUAL,
             digest_ms: 5000,
         },
     ];
     for case in cases {
-        for measure in MEASURES {
-            let mut rig = RoomRig::new(measure, &[case.equal; 40]);
+        for method in METHODS {
+            let mut rig = ContendedRig::new(method, &[case.equal; 40]);
             rig.now += Duration::from_millis(case.digest_ms);
             let share = busiest_share(&rig.counts(40_000));
-            assert!(share < 1.1, "{}, {measure:?}: {share}", case.name);
+            assert!(share < 1.1, "{}, {method:?}: {share}", case.name);
         }
     }
 }
 
 #[test]
-fn test_own_counts_stand_in_for_a_digest() {
-    // Guards against a host without a usable digest that decides by none or by an old one.
+fn test_own_counts_replace_a_missing_digest() {
+    // Guards against a host without a recent digest that selects without any load, or by an
+    // outdated one.
     struct Case {
         name: &'static str,
         age_ms: Option<u64>,
         waiting: u32,
-        all_elsewhere: bool,
+        others_get_all: bool,
     }
     let cases = [
         Case {
             name: "no digest, own requests on 30 hosts",
             age_ms: None,
             waiting: 1,
-            all_elsewhere: true,
+            others_get_all: true,
         },
         Case {
             name: "old digest, own requests on 30 hosts",
             age_ms: Some(1000),
             waiting: 1,
-            all_elsewhere: true,
+            others_get_all: true,
         },
         Case {
-            name: "old digest that called it full",
+            name: "old digest that reports it as full",
             age_ms: Some(1000),
             waiting: 0,
-            all_elsewhere: false,
+            others_get_all: false,
         },
         Case {
-            name: "digest that calls it full",
+            name: "digest that reports it as full",
             age_ms: Some(999),
             waiting: 0,
-            all_elsewhere: true,
+            others_get_all: true,
         },
     ];
     for case in cases {
-        let mut rig = RoomRig::new(RoomMeasure::FreeRoom, &[EQUAL; 3]);
+        let mut rig = ContendedRig::new(WeightMethod::FreeCapacity, &[EQUAL; 3]);
         rig.measure(0, 8000, 20);
         let first = rig.table.get_mut(rig.members[0]);
         first.waiting = case.waiting;
@@ -394,7 +396,7 @@
         let (few, many) = (counts[0] < 30, counts[0] > 200);
         assert_eq!(
             (few, many),
-            (case.all_elsewhere, !case.all_elsewhere),
+            (case.others_get_all, !case.others_get_all),
             "{}",
             case.name
         );
@@ -403,16 +405,17 @@
 
 #[test]
 fn test_connection_limit() {
-    // Guards against flows to an upstream that holds as many connections as it may.
+    // Guards against flows to an upstream that is at its connection limit.
     struct Case {
         name: &'static str,
         limit: u32,
         own: u32,
         idle: u32,
         elsewhere: u32,
-        /// Flows of each other upstream; in calm, the first has less load.
+        /// Flows of each other upstream. If the service is not contended, the first has less load
+        /// than they have.
         others: u32,
-        is_left_out: bool,
+        is_skipped: bool,
     }
     let cases = [
         Case {
@@ -422,7 +425,7 @@
             idle: 14,
             elsewhere: 40,
             others: 94,
-            is_left_out: false,
+            is_skipped: false,
         },
         Case {
             name: "95 of 100",
@@ -431,31 +434,31 @@
             idle: 15,
             elsewhere: 40,
             others: 94,
-            is_left_out: true,
+            is_skipped: true,
         },
         Case {
-            name: "one of one",
+            name: "1 of 1",
             limit: 1,
             own: 0,
             idle: 1,
             elsewhere: 0,
             others: 0,
-            is_left_out: true,
+            is_skipped: true,
         },
         Case {
-            name: "none of one",
+            name: "0 of 1",
             limit: 1,
             own: 0,
             idle: 0,
             elsewhere: 0,
             others: 0,
-            is_left_out: false,
+            is_skipped: false,
         },
     ];
     for case in cases {
         for is_contended in [false, true] {
             let name = format!("{}, contended: {is_contended}", case.name);
-            let mut rig = RoomRig::new(RoomMeasure::FreeRoom, &[EMPTY; 3]);
+            let mut rig = ContendedRig::new(WeightMethod::FreeCapacity, &[EMPTY; 3]);
             rig.room.is_contended = is_contended;
             for index in rig.members.clone() {
                 rig.table.get_mut(index).flows = case.others;
@@ -466,7 +469,7 @@
             first.flows_elsewhere = case.elsewhere;
             rig.limit_connections(case.limit);
             let counts = rig.counts(300);
-            assert_eq!(counts[0] == 0, case.is_left_out, "{name}");
+            assert_eq!(counts[0] == 0, case.is_skipped, "{name}");
             for index in rig.members.clone() {
                 let record = rig.table.get_mut(index);
                 (record.flows, record.idle, record.flows_elsewhere) = (200, 0, 0);
@@ -474,7 +477,7 @@
             let counts = rig.counts(300);
             assert!(
                 counts.iter().all(|count| *count > 0),
-                "{name}: all at the limit"
+                "{name}: all at the limit, and one gets no flows"
             );
             let has_free_slot = rig.select(1, None).has_free_slot;
             assert_eq!(has_free_slot, !is_contended, "{name}: at the limit");
@@ -483,8 +486,8 @@
 }
 
 #[test]
-fn test_free_slot_is_told() {
-    // Guards against SYNs that are deferred or refused while a slot is known to be free.
+fn test_free_slot_is_reported() {
+    // Guards against SYNs that are deferred or refused although a slot is known to be free.
     struct Case {
         name: &'static str,
         in_progress: [u32; 2],
@@ -494,28 +497,28 @@
     }
     let cases = [
         Case {
-            name: "calm",
+            name: "not contended",
             in_progress: [9000, 9000],
             is_contended: false,
             is_ejected: false,
             expected: true,
         },
         Case {
-            name: "none",
+            name: "no free slot",
             in_progress: [2000, 2000],
             is_contended: true,
             is_ejected: false,
             expected: false,
         },
         Case {
-            name: "one that is not selected first",
+            name: "an upstream that is not selected first",
             in_progress: [1999, 2000],
             is_contended: true,
             is_ejected: false,
             expected: true,
         },
         Case {
-            name: "one that does not respond",
+            name: "an upstream that does not respond",
             in_progress: [0, 2000],
             is_contended: true,
             is_ejected: true,
@@ -523,7 +526,7 @@
         },
     ];
     for case in cases {
-        let mut rig = RoomRig::new(RoomMeasure::FreeRoom, &[EQUAL; 3]);
+        let mut rig = ContendedRig::new(WeightMethod::FreeCapacity, &[EQUAL; 3]);
         rig.room.is_contended = case.is_contended;
         rig.measure(0, case.in_progress[0], 20);
         rig.measure(1, case.in_progress[1], 20);
@@ -531,13 +534,14 @@
         if case.is_ejected {
             eject(&mut rig, 0);
         }
-        let told = (0..20).all(|flow| rig.select(flow, None).has_free_slot == case.expected);
-        assert!(told, "{}", case.name);
+        let is_as_expected =
+            (0..20).all(|flow| rig.select(flow, None).has_free_slot == case.expected);
+        assert!(is_as_expected, "{}", case.name);
     }
 }
 
-/// Lets an upstream leave two callers unanswered.
-fn eject(rig: &mut RoomRig, member: usize) {
+/// Ejects an upstream by letting it leave the SYNs of several callers unanswered.
+fn eject(rig: &mut ContendedRig, member: usize) {
     let sent = rig.now;
     rig.now += Duration::from_millis(200);
     for flow in 0..4 {
@@ -548,56 +552,57 @@
 }
 
 #[test]
-fn test_flows_that_leave_go_to_their_zone() {
-    // Guards against spilled flows that stay, go to a third zone, or to upstreams that do not respond.
+fn test_spilled_flows_go_to_the_spill_zone() {
+    // Guards against spilled flows that stay, go to a third zone, or go to upstreams that do not
+    // respond.
     struct Case {
         name: &'static str,
-        leaves_for: Option<&'static str>,
+        spill_zone: Option<&'static str>,
         ejected: &'static [usize],
-        /// Places of the upstreams that get flows.
+        /// Indices in `members` of the upstreams that get flows.
         expected: &'static [usize],
     }
     let cases = [
         Case {
-            name: "stays",
-            leaves_for: None,
+            name: "stays in its zone",
+            spill_zone: None,
             ejected: &[],
             expected: &[0, 1, 2],
         },
         Case {
-            name: "leaves",
-            leaves_for: Some("b"),
+            name: "spilled",
+            spill_zone: Some("b"),
             ejected: &[],
             expected: &[3, 5],
         },
         Case {
-            name: "leaves, one there does not respond",
-            leaves_for: Some("b"),
+            name: "spilled, one upstream there does not respond",
+            spill_zone: Some("b"),
             ejected: &[3],
             expected: &[5],
         },
         Case {
-            name: "leaves, none there responds",
-            leaves_for: Some("b"),
+            name: "spilled, no upstream there responds",
+            spill_zone: Some("b"),
             ejected: &[3, 5],
             expected: &[0, 1, 2],
         },
         Case {
-            name: "leaves for a zone without upstreams",
-            leaves_for: Some("d"),
+            name: "spilled to a zone without upstreams",
+            spill_zone: Some("d"),
             ejected: &[],
             expected: &[0, 1, 2],
         },
     ];
     for case in cases {
-        let mut rig = RoomRig::new(RoomMeasure::FreeRoom, &[EQUAL; 3]);
+        let mut rig = ContendedRig::new(WeightMethod::FreeCapacity, &[EQUAL; 3]);
         for zone in ["b", "c", "b"] {
             rig.add_remote(zone);
         }
         for member in case.ejected {
             eject(&mut rig, *member);
         }
-        let zone = case.leaves_for.map(ZoneName::from);
+        let zone = case.spill_zone.map(ZoneName::from);
         let mut used: Vec<usize> = (0..200)
             .filter_map(|flow| {
                 let first = rig.select(rendezvous_weight(flow, 1), zone.as_ref()).first;
@@ -614,14 +619,14 @@
 fn test_new_upstreams_start_at_the_mean_weight() {
     // Guards against an empty upstream that gets the new flows of all hosts until the next digest.
     let costs = FlowCosts::default();
-    for measure in MEASURES {
-        let mut rig = RoomRig::new(measure, &[FULL; 9]);
+    for method in METHODS {
+        let mut rig = ContendedRig::new(method, &[FULL; 9]);
         rig.table.learn_loads(&costs);
         rig.room.updated_at = Some(rig.now);
-        let entry = room_entry(9, ZONE);
+        let entry = numbered_entry(9, ZONE);
         rig.members.push(rig.table.register(rig.now, &entry));
         let before = busiest_share(&rig.counts(20_000));
-        assert!(before < 1.15, "{measure:?}, not in the digest: {before}");
+        assert!(before < 1.15, "{method:?}, not in the digest: {before}");
         let mut shares = Vec::new();
         for _digest in 0..12 {
             rig.now += Duration::from_millis(250);
@@ -633,29 +638,30 @@
             let counts = rig.counts(10_000);
             shares.push(f64::from(counts[9]) / 1000.0);
         }
-        assert!(shares[0] < 1.2, "{measure:?}, first digest: {shares:?}");
-        assert!(shares[1] < 4.0, "{measure:?}, second digest: {shares:?}");
-        assert!(shares[11] > 4.0, "{measure:?}, after 3 s: {shares:?}");
+        assert!(shares[0] < 1.2, "{method:?}, first digest: {shares:?}");
+        assert!(shares[1] < 4.0, "{method:?}, second digest: {shares:?}");
+        assert!(shares[11] > 4.0, "{method:?}, after 3 s: {shares:?}");
     }
 }
 
 #[test]
-fn test_saturated_by_known_requests() {
-    // Guards against local upstreams that are full through other hosts and get this host's flows as well.
-    let mut rig = RoomRig::new(RoomMeasure::FreeRoom, &[FULL; 3]);
+fn test_upstreams_are_saturated_by_measured_requests() {
+    // Guards against flows to local upstreams that are saturated by the requests of other hosts.
+    let mut rig = ContendedRig::new(WeightMethod::FreeCapacity, &[FULL; 3]);
     rig.add_remote("b");
-    assert_eq!(rig.counts(100)[3], 0, "below three requests a slot");
+    assert_eq!(rig.counts(100)[3], 0, "below three requests per slot");
     for member in 0..3 {
         rig.measure(member, 6000, 60);
     }
-    assert_eq!(rig.counts(100)[3], 100, "three requests a slot");
+    assert_eq!(rig.counts(100)[3], 100, "three requests per slot");
     assert!(!rig.select(0, None).has_free_slot, "remote load is unknown");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Whatever is known of an upstream, its weight is a number above 0: it is never left out for good.
+    /// The weight of an upstream is a positive number for any load, so that it is never excluded
+    /// permanently.
     #[test]
     fn test_weights_are_positive(
         slots in 1..100_000_u32,
@@ -665,30 +671,30 @@
         hash: u64,
     ) {
         let upstream = KnownUpstream { slots, in_progress, response_ms, warmup_ms };
-        for measure in MEASURES {
-            let rig = RoomRig::new(measure, &[upstream]);
+        for method in METHODS {
+            let rig = ContendedRig::new(method, &[upstream]);
             let config = &rig.table.config().room;
             let record = rig.table.get(rig.members[0]);
-            let weight = room_weight(config, 160, record, in_progress, None, rig.now);
+            let weight = upstream_weight(config, 160, record, in_progress, None, rig.now);
             prop_assert!(weight.is_finite() && weight > 0.0);
-            let order = f64::from_bits(draw_order(hash, weight));
-            prop_assert!(order.is_finite() && order > 0.0);
+            let rank = f64::from_bits(draw_rank(hash, weight));
+            prop_assert!(rank.is_finite() && rank > 0.0);
         }
     }
 
-    /// What spares the logarithm of a draw never changes who wins it.
+    /// A candidate for which `is_drawn_after` skips the exact rank never wins the draw.
     #[test]
-    fn test_spared_draws_lose(hash: u64, other: u64, weight in 1e-3..1e6_f64, factor in 1e-3..1e3_f64) {
-        let limit = draw_order(other, weight * factor);
+    fn test_skipped_draws_never_win(hash: u64, other: u64, weight in 1e-3..1e6_f64, factor in 1e-3..1e3_f64) {
+        let limit = draw_rank(other, weight * factor);
         if is_drawn_after(hash, weight, limit) {
-            prop_assert!(draw_order(hash, weight) > limit);
+            prop_assert!(draw_rank(hash, weight) > limit);
         }
     }
 
-    /// Hosts with the same digest do not all select the upstream with the most room: of 1,000 flows, each
-    /// upstream gets at most 1.5 times the share of its weight, and 20 flows.
+    /// Hosts with the same digest do not all select the same upstream. Of 1,000 flows, each
+    /// upstream gets at most 1.5 times the share of its weight, plus 20 flows.
     #[test]
-    fn test_no_herd_forms(
+    fn test_hosts_with_the_same_digest_do_not_herd(
         loads in prop::collection::vec((0..6000_u32, 4..200_u64), 2..48),
         seed: u64,
     ) {
@@ -700,15 +706,15 @@
                 ..EQUAL
             })
             .collect();
-        for measure in MEASURES {
-            let rig = RoomRig::new(measure, &upstreams);
+        for method in METHODS {
+            let rig = ContendedRig::new(method, &upstreams);
             let config = &rig.table.config().room;
             let weights: Vec<f64> = rig
                 .members
                 .iter()
                 .map(|index| {
                     let record = rig.table.get(*index);
-                    room_weight(config, 160, record, record.load.in_progress, None, rig.now)
+                    upstream_weight(config, 160, record, record.load.in_progress, None, rig.now)
                 })
                 .collect();
             let sum: f64 = weights.iter().sum();
--- a/packet/tests/test_dispatch.rs
+++ b/packet/tests/test_dispatch.rs
@@ -9,19 +9,19 @@
 use lagoonproxy_packet::dispatch::dispatch_client::QueryState;
 use lagoonproxy_packet::dispatch::dispatch_client::REPLY_TIMEOUT;
 use lagoonproxy_packet::dispatch::dispatch_message::DispatchVerdict;
-use lagoonproxy_packet::dispatch::dispatch_message::MOST_EVENTS;
+use lagoonproxy_packet::dispatch::dispatch_message::MAX_EVENTS_PER_DATAGRAM;
 use lagoonproxy_packet::dispatch::dispatch_message::RequestEvent;
 use lagoonproxy_packet::dispatch::dispatch_policy::DispatchCandidate;
 use lagoonproxy_packet::dispatch::dispatch_policy::DispatchConfig;
 use lagoonproxy_packet::dispatch::dispatch_policy::LimitedShare;
-use lagoonproxy_packet::dispatch::dispatch_policy::RecentDemand;
+use lagoonproxy_packet::dispatch::dispatch_policy::PriorityMix;
+use lagoonproxy_packet::dispatch::dispatch_policy::effective_reserve;
 use lagoonproxy_packet::dispatch::dispatch_policy::is_limited;
-use lagoonproxy_packet::dispatch::dispatch_policy::kept_reserve;
 use lagoonproxy_packet::dispatch::dispatch_policy::least_loaded;
 use lagoonproxy_packet::dispatch::dispatcher_choice::DispatcherChoice;
 use lagoonproxy_packet::dispatch::request_ledger::RequestLedger;
 use lagoonproxy_packet::flows::flow_table::FlowKey;
-use lagoonproxy_packet::peers::peer_datagram::MOST_DATAGRAM;
+use lagoonproxy_packet::peers::peer_datagram::MAX_DATAGRAM_BYTES;
 use lagoonproxy_packet::peers::peer_datagram::PeerDatagram;
 use lagoonproxy_packet::routes::route_config::RequestPriority;
 use proptest::prelude::*;
@@ -42,11 +42,11 @@
     }
 }
 
-/// Whether a flow gets no room, with such a share of more urgent flows.
-fn is_limited_by(more_urgent: u32, best: &DispatchCandidate) -> bool {
+/// Returns whether a flow is limited, given the share of more urgent flows in thousandths.
+fn is_limited_by(more_urgent: u32, candidate: &DispatchCandidate) -> bool {
     let config = DispatchConfig::default();
-    let reserve = kept_reserve(&config, more_urgent);
-    reserve.is_some_and(|reserve| is_limited(&config, reserve, best))
+    let reserve = effective_reserve(&config, more_urgent);
+    reserve.is_some_and(|reserve| is_limited(&config, reserve, candidate))
 }
 
 fn host(number: u8) -> SocketAddrV4 {
@@ -69,7 +69,7 @@
     }
     let cases = [
         Case {
-            name: "none",
+            name: "no candidates",
             candidates: Vec::new(),
             selected: None,
         },
@@ -79,7 +79,7 @@
             selected: Some(2),
         },
         Case {
-            name: "by slot",
+            name: "fewest requests per slot",
             candidates: vec![
                 candidate(1, 3),
                 DispatchCandidate {
@@ -90,7 +90,7 @@
             selected: Some(2),
         },
         Case {
-            name: "a cold one costs more",
+            name: "a request costs more on a warming upstream",
             candidates: vec![
                 candidate(1, 1),
                 DispatchCandidate {
@@ -101,7 +101,7 @@
             selected: Some(1),
         },
         Case {
-            name: "a cold one that is empty still gets some",
+            name: "an idle warming upstream still gets flows",
             candidates: vec![
                 candidate(1, 2),
                 DispatchCandidate {
@@ -112,7 +112,7 @@
             selected: Some(2),
         },
         Case {
-            name: "one that left an earlier SYN without a response comes last",
+            name: "an upstream that an earlier SYN went to comes last",
             candidates: vec![
                 DispatchCandidate {
                     is_excluded: true,
@@ -123,12 +123,12 @@
             selected: Some(2),
         },
         Case {
-            name: "equals by weight",
+            name: "the highest weight among equals",
             candidates: vec![candidate(1, 1), candidate(7, 1), candidate(3, 1)],
             selected: Some(7),
         },
         Case {
-            name: "a service with one slot",
+            name: "upstreams with one slot",
             candidates: vec![
                 DispatchCandidate {
                     slots: 1,
@@ -143,18 +143,23 @@
         },
     ];
     for case in cases {
-        let best = least_loaded(case.candidates.into_iter());
-        assert_eq!(best.map(|best| best.index), case.selected, "{}", case.name);
+        let selected = least_loaded(case.candidates.into_iter());
+        assert_eq!(
+            selected.map(|candidate| candidate.index),
+            case.selected,
+            "{}",
+            case.name
+        );
     }
 }
 
 #[test]
-fn test_slow_upstream_gets_less_and_not_nothing() {
-    // Guards against a slow upstream that gets as many new flows as the others, or none for good.
+fn test_slow_upstream_gets_fewer_flows_but_some() {
+    // Guards against a slow upstream that gets as many new flows as the others, or never gets any.
     let mut ledger = RequestLedger::default();
     let now = Instant::now();
     let mut placed = [0_u32; 40];
-    // One flow a millisecond; a request takes 60 ms, and 300 ms at the first upstream.
+    // One flow arrives per millisecond. A request takes 60 ms, or 300 ms on the first upstream.
     let mut ends: Vec<(u64, u32)> = Vec::new();
     for millis in 0..2000_u64 {
         ends.retain(|(end, flow)| {
@@ -169,14 +174,18 @@
             weight: (u64::from(index) * 7919 + millis * 104_729) % 1009,
             ..candidate(index, ledger.in_progress(index))
         });
-        let best = least_loaded(candidates).unwrap();
-        ledger.begin(now, flow, best.index);
-        placed[best.index as usize] += 1;
-        let took = if best.index == 0 { 300 } else { 60 };
-        ends.push((millis + took, flow));
+        let selected = least_loaded(candidates).unwrap();
+        ledger.begin(now, flow, selected.index);
+        placed[selected.index as usize] += 1;
+        let request_millis = if selected.index == 0 { 300 } else { 60 };
+        ends.push((millis + request_millis, flow));
     }
-    let equal: u32 = placed[1..].iter().sum::<u32>() / 39;
-    assert!(placed[0] * 100 < equal * 35, "{} of {equal}", placed[0]);
+    let mean_of_others: u32 = placed[1..].iter().sum::<u32>() / 39;
+    assert!(
+        placed[0] * 100 < mean_of_others * 35,
+        "{} of {mean_of_others}",
+        placed[0]
+    );
     assert!(placed[0] > 0);
 }
 
@@ -208,77 +217,77 @@
             limited: true,
         },
         Case {
-            name: "few flows are more urgent: little is kept",
+            name: "few flows are more urgent: the reserve is small",
             more_urgent: 20,
             in_progress: 9,
             limited: false,
         },
         Case {
-            name: "nobody is more urgent",
+            name: "no flow is more urgent",
             more_urgent: 0,
             in_progress: 200,
             limited: false,
         },
     ];
     for case in cases {
-        let best = candidate(1, case.in_progress);
-        let limited = is_limited_by(case.more_urgent, &best);
+        let candidate = candidate(1, case.in_progress);
+        let limited = is_limited_by(case.more_urgent, &candidate);
         assert_eq!(limited, case.limited, "{}", case.name);
     }
 }
 
 #[test]
-fn test_demand_follows_what_was_asked_of_late() {
+fn test_priority_mix_follows_recent_flows() {
     struct Case {
         name: &'static str,
-        asked: Vec<(RequestPriority, usize)>,
+        recorded: Vec<(RequestPriority, usize)>,
         priority: RequestPriority,
         more_urgent: std::ops::RangeInclusive<u32>,
     }
     let cases = [
         Case {
-            name: "nothing was asked",
-            asked: vec![],
+            name: "no flows",
+            recorded: vec![],
             priority: NORMAL,
             more_urgent: 0..=0,
         },
         Case {
             name: "all priorities equal",
-            asked: vec![(NORMAL, 100)],
+            recorded: vec![(NORMAL, 100)],
             priority: NORMAL,
             more_urgent: 0..=0,
         },
         Case {
             name: "a quarter is urgent",
-            asked: vec![(URGENT, 25), (NORMAL, 75)],
+            recorded: vec![(URGENT, 25), (NORMAL, 75)],
             priority: NORMAL,
             more_urgent: 250..=250,
         },
         Case {
-            name: "nobody is more urgent than the urgent",
-            asked: vec![(URGENT, 25), (NORMAL, 75)],
+            name: "no flow is more urgent than the most urgent class",
+            recorded: vec![(URGENT, 25), (NORMAL, 75)],
             priority: URGENT,
             more_urgent: 0..=0,
         },
         Case {
-            name: "a burst that is over is forgotten",
-            asked: vec![(URGENT, 400), (NORMAL, 4000)],
+            name: "a past burst loses its weight",
+            recorded: vec![(URGENT, 400), (NORMAL, 4000)],
             priority: NORMAL,
             more_urgent: 0..=10,
         },
         Case {
-            name: "more priorities than are told apart",
-            asked: (0..100).map(|level| (RequestPriority(level), 1)).collect(),
+            name: "more priorities than are counted separately",
+            recorded: (0..100).map(|level| (RequestPriority(level), 1)).collect(),
             priority: RequestPriority::LEAST_URGENT,
             more_urgent: 1000..=1000,
         },
     ];
     for case in cases {
-        let mut demand = RecentDemand::default();
-        for (priority, count) in case.asked {
-            (0..count).for_each(|_flow| demand.record(priority));
+        let mut mix = PriorityMix::default();
+        for (priority, count) in case.recorded {
+            (0..count).for_each(|_flow| mix.record(priority));
         }
-        let more_urgent = demand.more_urgent(case.priority);
+        let more_urgent = mix.more_urgent(case.priority);
         assert!(
             case.more_urgent.contains(&more_urgent),
             "{}: {more_urgent}",
@@ -288,15 +297,18 @@
 }
 
 #[test]
-fn test_limited_share_tells_a_short_rush_from_one_that_lasts() {
-    let most = DispatchConfig::default().most_deferred;
+fn test_limited_share_separates_short_bursts_from_long_ones() {
+    let max_share = DispatchConfig::default().max_deferred_share;
     let mut share = LimitedShare::default();
     (0..10).for_each(|_flow| share.record(true));
-    assert!(share.share() < most, "ten flows are no lasting rush");
+    assert!(share.share() < max_share, "ten flows are a short burst");
     (0..100).for_each(|_flow| share.record(true));
-    assert!(share.share() > most, "a hundred flows are");
+    assert!(
+        share.share() > max_share,
+        "a hundred flows are a long burst"
+    );
     (0..200).for_each(|_flow| share.record(false));
-    assert!(share.share() < most, "it is over");
+    assert!(share.share() < max_share, "the burst has ended");
 }
 
 #[test]
@@ -306,7 +318,11 @@
     ledger.place(now, 1, 0);
     assert_eq!(ledger.in_progress(0), 1, "a placed flow counts at once");
     ledger.begin(now, 1, 0);
-    assert_eq!(ledger.in_progress(0), 1, "its request is the same one");
+    assert_eq!(
+        ledger.in_progress(0),
+        1,
+        "the flow and its request count once"
+    );
     ledger.begin(now, 1, 2);
     assert_eq!((ledger.in_progress(0), ledger.in_progress(2)), (0, 1));
     ledger.end(1);
@@ -316,8 +332,9 @@
 }
 
 #[test]
-fn test_requests_whose_end_is_lost_expire() {
-    // Guards against upstreams that look full for good after the host that watched their requests has died.
+fn test_requests_without_a_reported_end_expire() {
+    // Guards against upstreams that look full permanently after the host that reported their
+    // requests has failed.
     let now = Instant::now();
     let mut ledger = RequestLedger::default();
     ledger.begin(now, 1, 0);
@@ -328,32 +345,36 @@
 }
 
 #[test]
-fn test_placed_flows_that_send_nothing_expire_soon() {
-    // Guards against upstreams that look full because callers opened flows and sent nothing.
+fn test_placed_flows_without_a_request_expire() {
+    // Guards against upstreams that look full because callers opened flows and sent no request.
     let now = Instant::now();
     let mut ledger = RequestLedger::default();
     ledger.place(now, 1, 0);
     ledger.place(now, 2, 0);
     ledger.begin(now, 2, 0);
     ledger.expire_placements(now + Duration::from_millis(40));
-    assert_eq!(ledger.in_progress(0), 1, "the one with a request stays");
+    assert_eq!(
+        ledger.in_progress(0),
+        1,
+        "the flow with a request still counts"
+    );
 }
 
 #[test]
-fn test_silent_dispatcher_leaves_the_decision_to_the_host() {
-    // Guards against SYNs that wait for a dispatcher that has died.
+fn test_host_decides_without_a_reply() {
+    // Guards against SYNs that wait for a dispatcher that has failed.
     let now = Instant::now();
     let mut client = DispatchClient::default();
     assert!(client.ask(now, flow_key(1), 7, host(9)));
     assert_eq!(client.take(now, 7), QueryState::Waiting);
-    let late = now + REPLY_TIMEOUT;
-    assert_eq!(client.take(late, 7), QueryState::TimedOut(host(9)));
-    assert_eq!(client.take(late, 7), QueryState::Absent);
+    let timed_out_at = now + REPLY_TIMEOUT;
+    assert_eq!(client.take(timed_out_at, 7), QueryState::TimedOut(host(9)));
+    assert_eq!(client.take(timed_out_at, 7), QueryState::Absent);
 }
 
 #[test]
-fn test_reply_of_somebody_else_is_ignored() {
-    // Guards against a former dispatcher that replies late for flows that another one places.
+fn test_reply_of_another_host_is_ignored() {
+    // Guards against a late reply of a former dispatcher for a flow that another one places.
     let now = Instant::now();
     let mut client = DispatchClient::default();
     client.ask(now, flow_key(1), 7, host(9));
@@ -385,28 +406,30 @@
         1000
     );
     for (_target, batch) in batches {
-        assert!(batch.len() <= MOST_EVENTS);
+        assert!(batch.len() <= MAX_EVENTS_PER_DATAGRAM);
         let bytes = PeerDatagram::Requests(batch).encode().unwrap();
-        assert!(bytes.len() <= MOST_DATAGRAM, "{}", bytes.len());
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
     }
     assert!(!client.has_events());
 }
 
 #[test]
-fn test_dispatcher_that_does_not_reply_is_skipped_for_some_time() {
-    // Guards against a zone whose every new flow waits for a dispatcher that is frozen or cut off.
+fn test_unresponsive_dispatcher_is_skipped() {
+    // Guards against a zone in which every new flow waits for a dispatcher that is frozen or
+    // unreachable.
     let now = Instant::now();
     let mut choice = DispatcherChoice::default();
     assert!(!choice.missed(now, host(9)));
     choice.replied(host(9));
-    assert!(!choice.missed(now, host(9)), "a reply between starts anew");
+    assert!(!choice.missed(now, host(9)), "a reply resets the count");
     assert!(!choice.missed(now, host(9)));
-    assert!(choice.missed(now, host(9)), "the third one in a row");
+    assert!(choice.missed(now, host(9)), "the third consecutive timeout");
 }
 
 #[test]
-fn test_many_former_dispatchers_do_not_hide_a_silent_one() {
-    // Guards against a dead dispatcher that is asked for good because the list is full of hosts that left the zone.
+fn test_former_dispatchers_do_not_hide_an_unresponsive_one() {
+    // Guards against a failed dispatcher that is queried forever because the table is full of hosts
+    // that left the zone.
     let now = Instant::now();
     let mut choice = DispatcherChoice::default();
     (10..30).for_each(|number| _ = choice.missed(now, host(number)));
@@ -439,27 +462,27 @@
     }
 
     #[test]
-    fn test_nobody_is_limited_while_a_slot_is_free(
+    fn test_no_flow_is_limited_while_a_slot_is_free(
         more_urgent in 0_u32..2000, slots in 1_u32..32, busy in 0_u32..32
     ) {
         let in_progress = busy % slots;
-        let best = DispatchCandidate { slots, in_progress, ..candidate(1, 0) };
-        prop_assert!(!is_limited_by(more_urgent, &best));
+        let candidate = DispatchCandidate { slots, in_progress, ..candidate(1, 0) };
+        prop_assert!(!is_limited_by(more_urgent, &candidate));
     }
 
     #[test]
     fn test_a_less_urgent_flow_never_gets_more_room(
         counts in prop::collection::vec(0_u32..50, 4), in_progress in 0_u32..20
     ) {
-        let mut demand = RecentDemand::default();
+        let mut mix = PriorityMix::default();
         for (level, count) in counts.iter().enumerate() {
-            (0..*count).for_each(|_flow| demand.record(RequestPriority(level as u32)));
+            (0..*count).for_each(|_flow| mix.record(RequestPriority(level as u32)));
         }
-        let best = candidate(1, in_progress);
+        let candidate = candidate(1, in_progress);
         let limits: Vec<bool> = (0..4)
             .map(|level| {
-                let more_urgent = demand.more_urgent(RequestPriority(level));
-                is_limited_by(more_urgent, &best)
+                let more_urgent = mix.more_urgent(RequestPriority(level));
+                is_limited_by(more_urgent, &candidate)
             })
             .collect();
         prop_assert!(limits.is_sorted());
--- a/packet/tests/test_dispatch_fleet.rs
+++ b/packet/tests/test_dispatch_fleet.rs
@@ -8,7 +8,7 @@
 use lagoonproxy_packet::dispatch::dispatch_message::DispatchVerdict;
 use lagoonproxy_packet::dispatch::dispatch_message::RequestEvent;
 use lagoonproxy_packet::load::load_report::service_tag;
-use lagoonproxy_packet::peers::peer_datagram::MOST_DATAGRAM;
+use lagoonproxy_packet::peers::peer_datagram::MAX_DATAGRAM_BYTES;
 use lagoonproxy_packet::peers::peer_datagram::PeerDatagram;
 use lagoonproxy_packet::routes::route_config::RequestPriority;
 use proptest::prelude::*;
@@ -90,7 +90,7 @@
 fn verdict(rig: &mut DispatchRig, host: usize, query: &DispatchQuery) -> DispatchVerdict {
     let now = rig.now;
     match rig.cores[host]
-        .heard_query(now, host_address(1), query)
+        .handle_query(now, host_address(1), query)
         .datagram
     {
         PeerDatagram::Reply(DispatchReply { verdict, .. }) => verdict,
@@ -161,7 +161,7 @@
             rig.pass(1);
             rig.finish(syn);
         }
-        assert_eq!(rig.parks, 0, "{hosts} hosts");
+        assert_eq!(rig.park_count, 0, "{hosts} hosts");
         assert!(rig.sent.iter().all(|(count, _bytes)| *count == 0));
     }
 }
@@ -172,7 +172,7 @@
     let mut rig = DispatchRig::new(1, 6);
     rig.warm_up();
     assert!(rig.place(0, 1).unwrap().dispatched);
-    assert_eq!((rig.parks, rig.sent[0]), (0, (0, 0)));
+    assert_eq!((rig.park_count, rig.sent[0]), (0, (0, 0)));
 }
 
 #[test]
@@ -182,7 +182,7 @@
     rig.warm_up();
     rig.sent.fill((0, 0));
     run_steady(&mut rig, 100, 1000);
-    assert!(rig.longest <= MOST_DATAGRAM, "{}", rig.longest);
+    assert!(rig.longest <= MAX_DATAGRAM_BYTES, "{}", rig.longest);
     let busiest = rig.sent[1..].iter().map(|(_count, bytes)| *bytes).max();
     assert!(busiest <= Some(TRAFFIC_BOUND), "{busiest:?} bytes");
 }
@@ -232,7 +232,7 @@
 fn test_two_hosts_dispatch() {
     // Guards against flows that get no upstream while hosts disagree on the dispatcher.
     let mut rig = DispatchRig::new(8, 6);
-    rig.reaches = |from, to| from != 0 && to != 0 || from < 4 && to < 4;
+    rig.can_reach = |from, to| from != 0 && to != 0 || from < 4 && to < 4;
     rig.warm_up();
     let queues = run_steady(&mut rig, 6, 1000);
     assert!(rig.resets.is_empty());
@@ -255,7 +255,7 @@
         upstream: tag(1),
     }];
     let now = rig.now;
-    rig.cores[0].heard_requests(now, &began);
+    rig.cores[0].handle_request_events(now, &began);
     rig.pass(290);
     assert_eq!(
         verdict(&mut rig, 0, &query(2, false)),
@@ -273,7 +273,7 @@
     // Guards against upstreams that look full for good after the ends of their requests were lost.
     let mut rig = DispatchRig::new(8, 2);
     rig.warm_up();
-    rig.loses = Box::new(|datagram| match datagram {
+    rig.should_drop = Box::new(|datagram| match datagram {
         PeerDatagram::Requests(events) => {
             let ends = |event: &RequestEvent| matches!(event, RequestEvent::Ended { .. });
             events.iter().any(ends)
@@ -289,13 +289,13 @@
         }
     }
     // By the counts both are equally loaded; in truth the first is empty.
-    rig.loses = Box::new(|_datagram| false);
+    rig.should_drop = Box::new(|_datagram| false);
     rig.placed.retain(|syn| syn.upstream == 2);
     rig.pass(1500);
     for syn in rig.placed.clone() {
         // Those of the second go on: their next requests are reported again.
-        rig.packet(1, &carry_head(syn.flow, 2, 100, 501, 0));
-        rig.packet(1, &carry_head(syn.flow, 2, 100, 501, 100));
+        rig.packet(1, &established_head(syn.flow, 2, 100, 501, 0));
+        rig.packet(1, &established_head(syn.flow, 2, 100, 501, 100));
     }
     rig.pass(700);
     for flow in 100..103 {
@@ -310,15 +310,15 @@
     // Guards against SYNs that wait longer than the timeout, or again and again, when replies are lost.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
-    rig.loses = Box::new(|datagram| matches!(datagram, PeerDatagram::Reply(_)));
-    let before = rig.parks;
+    rig.should_drop = Box::new(|datagram| matches!(datagram, PeerDatagram::Reply(_)));
+    let before = rig.park_count;
     for flow in 0..3 {
         let start = rig.now;
         let syn = rig.place(1, flow).expect("an upstream");
         assert!(!syn.dispatched);
         assert!(rig.now - start <= Duration::from_millis(11));
     }
-    assert_eq!(rig.parks - before, 3);
+    assert_eq!(rig.park_count - before, 3);
     rig.pass(110);
     let syn = rig.place(1, 10).expect("an upstream");
     assert!(
@@ -359,12 +359,12 @@
     // Guards against a SYN that a host without processor time keeps several times over.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
-    rig.loses = Box::new(|datagram| matches!(datagram, PeerDatagram::Reply(_)));
+    rig.should_drop = Box::new(|datagram| matches!(datagram, PeerDatagram::Reply(_)));
     rig.resume_delay = Duration::from_millis(150);
-    let before = rig.parks;
+    let before = rig.park_count;
     rig.packet(1, &open_head(1, 0));
     rig.pass(170);
-    assert_eq!((rig.parks - before, rig.placed.len()), (1, 1));
+    assert_eq!((rig.park_count - before, rig.placed.len()), (1, 1));
 }
 
 #[test]
@@ -386,10 +386,10 @@
     rig.warm_up();
     rig.packet(1, &open_head(1, 0));
     rig.pass(200);
-    let before = rig.parks;
+    let before = rig.park_count;
     rig.packet(1, &open_head(1, 1));
     rig.pass(20);
-    assert_eq!(rig.parks - before, 1);
+    assert_eq!(rig.park_count - before, 1);
     let records = rig.cores[1].upstreams().records();
     assert_eq!(
         records.map(|record| record.silence.attempts()).sum::<u32>(),
@@ -427,7 +427,7 @@
     assert_eq!(queued_verdicts(&mut rig, 0, 1), []);
     let now = rig.now;
     for flow in (1000..1100).chain(2000..2100) {
-        rig.cores[0].heard_requests(now, &[RequestEvent::Ended { flow }]);
+        rig.cores[0].handle_request_events(now, &[RequestEvent::Ended { flow }]);
     }
     let verdicts = queued_verdicts(&mut rig, 0, 1);
     assert!(
@@ -447,11 +447,11 @@
     assert_eq!(verdict(&mut rig, 0, &waiting), DispatchVerdict::Wait);
     let now = rig.now;
     for _event in 0..500 {
-        rig.cores[0].heard_requests(now, &[RequestEvent::Ended { flow: 1 }]);
+        rig.cores[0].handle_request_events(now, &[RequestEvent::Ended { flow: 1 }]);
     }
     rig.pass(120);
     let later = rig.now;
-    rig.cores[0].heard_requests(later, &[RequestEvent::Ended { flow: 1 }]);
+    rig.cores[0].handle_request_events(later, &[RequestEvent::Ended { flow: 1 }]);
     let replied = queued_verdicts(&mut rig, 0, 1);
     assert_eq!(replied, [DispatchVerdict::Defer]);
 }
@@ -462,7 +462,7 @@
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.packet(1, &open_head(1, 0));
-    let data = carry_head(1, 3, 0, 1, 100);
+    let data = established_head(1, 3, 0, 1, 100);
     rig.packet(1, &data);
     rig.pass(20);
     assert_eq!(
@@ -499,7 +499,7 @@
     let busy = rig.place(1, 1).unwrap();
     for turn in 0..30 {
         let (seq, ack) = (turn * 100, 1 + turn * 500);
-        rig.packet(1, &carry_head(1, busy.upstream, seq, ack, 100));
+        rig.packet(1, &established_head(1, busy.upstream, seq, ack, 100));
         rig.pass(100);
     }
     for flow in 100..110 {
@@ -528,7 +528,7 @@
         let copies = [(0, 1, 0), (repeat_after, 1, 0), (200, later[0], 1), (600, later[1], 2)];
         let mut may_be_open = false;
         for millis in 0..1100 {
-            rig.loses = Box::new(move |datagram| {
+            rig.should_drop = Box::new(move |datagram| {
                 millis < lost_until && matches!(datagram, PeerDatagram::Reply(_))
             });
             let due = copies.iter().filter(|(at, ..)| *at == millis);
@@ -550,7 +550,7 @@
     let now = rig.now;
     for flow in 1000..1100 {
         let upstream = tag(1 + (flow % 2) as u8);
-        rig.cores[0].heard_requests(now, &[RequestEvent::Began { flow, upstream }]);
+        rig.cores[0].handle_request_events(now, &[RequestEvent::Began { flow, upstream }]);
     }
     for flow in 2000..2100 {
         let urgent = DispatchQuery {
--- a/packet/tests/test_failing_upstreams.rs
+++ b/packet/tests/test_failing_upstreams.rs
@@ -37,7 +37,7 @@
     }
 
     fn ask(&mut self, rig: &mut CoreRig) {
-        rig.packet(&carry_head(
+        rig.packet(&established_head(
             self.number,
             self.upstream,
             self.seq,
@@ -51,7 +51,7 @@
     fn receive(&mut self, rig: &mut CoreRig, bytes: u32) {
         self.ack += bytes;
         self.waits = false;
-        rig.packet(&carry_head(
+        rig.packet(&established_head(
             self.number,
             self.upstream,
             self.seq,
@@ -215,7 +215,7 @@
     rig.pass(12_000);
     beliefs(&mut rig);
     for flow in &mut flows {
-        let mut end = carry_head(flow.number, flow.upstream, flow.seq, flow.ack, 0);
+        let mut end = established_head(flow.number, flow.upstream, flow.seq, flow.ack, 0);
         end.last = true;
         rig.packet(&end);
     }
@@ -253,7 +253,7 @@
         };
         let tag = tag(1);
         rig.core
-            .heard_failures(address(number), &[FailureReport { tag, answers }]);
+            .handle_failure_reports(address(number), &[FailureReport { tag, answers }]);
     }
     rig.pass(100);
     assert!(!new_flows(&mut rig, 0).contains(&1));
