--- a/packet/tests/test_flow_load.rs
+++ b/packet/tests/test_flow_load.rs
@@ -1,4 +1,5 @@
-//! Tests of which flows count as load, and of what happens in a rush when silent ones count on.
+//! Tests of which flows count as load, and of the effect on other zones if silent flows keep
+//! counting.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -15,23 +16,23 @@
 
 use crate::core_rig::*;
 
-/// Flows that count at the upstream, and those of them that wait.
-fn counted(rig: &CoreRig, number: u8) -> (u32, u32) {
+/// Returns the flows that count at an upstream, and how many of them wait for a response.
+fn load_counts(rig: &CoreRig, number: u8) -> (u32, u32) {
     let upstreams = rig.core.upstreams();
     let index = upstreams.by_name(&upstream_name(number)).unwrap();
     let record = upstreams.get(index);
     (record.flows, record.waiting)
 }
 
-/// Lets another caller's answers show how long this route's flows are usually silent.
-fn teach_silence(rig: &mut CoreRig, upstream: u8) {
-    rig.packet(&carry_head(999, upstream, 0, 1, 0));
+/// Sends requests of another caller, from which the usual pause on the route is learned.
+fn learn_usual_pause(rig: &mut CoreRig, upstream: u8) {
+    rig.packet(&established_head(999, upstream, 0, 1, 0));
     for turn in 0..16 {
         rig.request(999, upstream, turn);
         rig.pass(40);
         rig.acknowledge(999, upstream, turn);
     }
-    let mut last = carry_head(999, upstream, 1600, 8001, 0);
+    let mut last = established_head(999, upstream, 1600, 8001, 0);
     last.last = true;
     rig.packet(&last);
 }
@@ -43,7 +44,7 @@
         name: &'static str,
         waits: bool,
         pass_ms: u64,
-        speaks: bool,
+        sends_packet: bool,
         expected: (u32, u32),
     }
     let cases = [
@@ -51,65 +52,65 @@
             name: "a request that waits",
             waits: true,
             pass_ms: 900,
-            speaks: false,
+            sends_packet: false,
             expected: (1, 1),
         },
         Case {
             name: "a caller that has given up",
             waits: true,
             pass_ms: 1500,
-            speaks: false,
+            sends_packet: false,
             expected: (0, 0),
         },
         Case {
-            name: "one that was only slow",
+            name: "a caller that was only slow",
             waits: true,
             pass_ms: 1500,
-            speaks: true,
+            sends_packet: true,
             expected: (1, 1),
         },
         Case {
-            name: "a flow that moved away after its answer",
+            name: "a flow that moved to another host after its response",
             waits: false,
             pass_ms: 1500,
-            speaks: false,
+            sends_packet: false,
             expected: (0, 0),
         },
         Case {
-            name: "and has come back with a request",
+            name: "a flow that returns with a request",
             waits: false,
             pass_ms: 1500,
-            speaks: true,
+            sends_packet: true,
             expected: (1, 1),
         },
         Case {
-            name: "a flow that was forgotten while it was silent",
+            name: "a flow that expired while it was silent",
             waits: true,
             pass_ms: 16_000,
-            speaks: false,
+            sends_packet: false,
             expected: (0, 0),
         },
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1]);
-        teach_silence(&mut rig, 1);
+        learn_usual_pause(&mut rig, 1);
         rig.establish(1);
         rig.request(1, 1, 0);
         if !case.waits {
             rig.acknowledge(1, 1, 0);
         }
         rig.pass(case.pass_ms);
-        if case.speaks {
+        if case.sends_packet {
             rig.request(1, 1, u32::from(!case.waits));
         }
-        assert_eq!(counted(&rig, 1), case.expected, "{}", case.name);
+        assert_eq!(load_counts(&rig, 1), case.expected, "{}", case.name);
     }
 }
 
 #[test]
 fn test_flows_with_long_pauses_count() {
-    // Guards against flows that count as idle between two requests, so that their upstream gets
-    // ever more.
+    // Guards against flows that count as idle between two requests, so that their upstream receives
+    // ever more flows.
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.establish(1);
     for turn in 0..10 {
@@ -122,23 +123,23 @@
     rig.pass(50);
     rig.acknowledge(1, 1, 10);
     rig.pass(6000);
-    assert_eq!(counted(&rig, 1), (1, 0));
+    assert_eq!(load_counts(&rig, 1), (1, 0));
 }
 
 #[test]
-fn test_quiet_flows_of_a_dark_upstream_are_ended() {
+fn test_idle_flows_of_a_dead_upstream_are_ended() {
     // Guards against idle flows of a dead upstream that are not reset.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
-    teach_silence(&mut rig, 2);
+    learn_usual_pause(&mut rig, 2);
     let flows: Vec<(u16, u8)> = (0..16).map(|flow| (flow, rig.establish(flow))).collect();
-    let on_first: Vec<u16> = flows
+    let at_first: Vec<u16> = flows
         .iter()
         .filter(|(_flow, at)| *at == 1)
         .map(|(flow, _at)| *flow)
         .collect();
     rig.pass(1500);
     for _copy in 0..3 {
-        for flow in &on_first[..2] {
+        for flow in &at_first[..2] {
             rig.request(*flow, 1, 0);
         }
         rig.pass(200);
@@ -148,21 +149,21 @@
         .iter()
         .map(|reset| reset.caller.port() - caller(0).port())
         .collect();
-    assert!(on_first.len() > 2, "some are between two requests");
-    assert!(on_first[2..].iter().all(|flow| ended.contains(flow)));
+    assert!(at_first.len() > 2, "some flows are between two requests");
+    assert!(at_first[2..].iter().all(|flow| ended.contains(flow)));
 }
 
-/// Two zones of two hosts each, whose heartbeats reach each other at once.
+/// Two zones of two hosts each, which receive each other's heartbeats without delay.
 struct TwoZones {
     now: Instant,
     hosts: Vec<(SocketAddrV4, &'static str, PacketCore)>,
-    /// The next caller.
-    next: u16,
-    /// Flows in use: when each ends, at which host, whose, and at which upstream.
+    /// Number of the next caller.
+    next_caller: u16,
+    /// Flows in use: end time, host, caller and upstream.
     open: Vec<(Instant, usize, u16, u8)>,
 }
 
-/// Zones of upstreams 1 to 8.
+/// Returns the zone of an upstream from 1 to 8.
 fn zone_of(upstream: u8) -> &'static str {
     if upstream <= 4 { "a" } else { "b" }
 }
@@ -174,7 +175,7 @@
         let mut zones = Self {
             now,
             hosts: Vec::new(),
-            next: 0,
+            next_caller: 0,
             open: Vec::new(),
         };
         for (number, zone) in places {
@@ -191,7 +192,7 @@
                 zone: zone_of(upstream).into(),
                 ..entry(upstream, "ledger")
             });
-            let mut items = vec![routes_item(1, usual_routes(1))];
+            let mut items = vec![routes_item(1, default_routes(1))];
             items.extend(entries.map(|entry| upstream_item(1, entry)));
             core.merge(now, &whole(10, items), &mut PacketOutput::default());
             zones.hosts.push((address, zone, core));
@@ -199,17 +200,17 @@
         zones
     }
 
-    /// Opens a flow through a host and sends its request; the upstream that has it.
-    fn begin(&mut self, host: usize) -> u8 {
-        let number = self.next;
-        self.next += 1;
+    /// Opens a flow through a host and sends its request. Returns the upstream of the flow.
+    fn open_flow(&mut self, host: usize) -> u8 {
+        let number = self.next_caller;
+        self.next_caller += 1;
         let core = &mut self.hosts[host].2;
         let mut output = PacketOutput::default();
         core.packet(self.now, &open_head(number, 0), &mut output);
         let upstream = forwarded(&output.actions)[0];
         core.packet(
             self.now,
-            &carry_head(number, upstream, 0, 1, 100),
+            &established_head(number, upstream, 0, 1, 100),
             &mut PacketOutput::default(),
         );
         let end = self.now + Duration::from_millis(40);
@@ -217,22 +218,22 @@
         upstream
     }
 
-    /// Answers the flows whose time has come, and closes them.
-    fn answer(&mut self) {
+    /// Acknowledges the responses of flows that have reached their end time, and closes them.
+    fn finish_flows(&mut self) {
         let now = self.now;
         let (done, open) = std::mem::take(&mut self.open)
             .into_iter()
             .partition(|(end, ..)| *end <= now);
         self.open = open;
         for (_end, host, number, upstream) in done as Vec<(Instant, usize, u16, u8)> {
-            let mut last = carry_head(number, upstream, 100, 501, 0);
+            let mut last = established_head(number, upstream, 100, 501, 0);
             last.last = true;
             let core = &mut self.hosts[host].2;
             core.packet(now, &last, &mut PacketOutput::default());
         }
     }
 
-    /// Ticks, and hands every heartbeat to whom it is for.
+    /// Runs a tick on every host, and delivers every heartbeat to its targets.
     fn tick(&mut self) {
         let now = self.now;
         for index in 0..self.hosts.len() {
@@ -251,49 +252,49 @@
         }
     }
 
-    /// Lets callers open flows through these hosts in turn for that long, one every 5 ms; the share of
-    /// flows that left their zone.
-    fn play(&mut self, hosts: &[usize], length: Duration) -> f64 {
-        let (mut opened, mut left) = (0, 0);
-        for step in 0..length.as_millis() / 5 {
+    /// Opens a flow every 5 ms for this time, through these hosts in turn. Returns the share of
+    /// flows that went to another zone.
+    fn run_traffic(&mut self, hosts: &[usize], duration: Duration) -> f64 {
+        let (mut opened, mut spilled) = (0, 0);
+        for step in 0..duration.as_millis() / 5 {
             self.now += Duration::from_millis(5);
-            self.answer();
+            self.finish_flows();
             if step % 20 == 0 {
                 self.tick();
             }
             let host = hosts[step as usize % hosts.len()];
-            let upstream = self.begin(host);
+            let upstream = self.open_flow(host);
             opened += 1;
-            left += usize::from(zone_of(upstream) != self.hosts[host].1);
+            spilled += usize::from(zone_of(upstream) != self.hosts[host].1);
         }
-        left as f64 / opened as f64
+        spilled as f64 / opened as f64
     }
 }
 
 #[test]
-fn test_zones_keep_their_callers_after_a_rush() {
-    // Guards against abandoned flows that make a zone look saturated and send its callers to
-    // another.
+fn test_zones_keep_their_callers_after_a_burst() {
+    // Guards against abandoned flows that make a zone look saturated, so that its callers are sent
+    // to another zone.
     struct Case {
         name: &'static str,
-        idle_floor: Duration,
-        swapped: bool,
+        min_idle_time: Duration,
+        expects_spill: bool,
     }
     let cases = [
         Case {
-            name: "silent flows count on",
-            idle_floor: Duration::from_secs(3600),
-            swapped: true,
+            name: "silent flows keep counting",
+            min_idle_time: Duration::from_secs(3600),
+            expects_spill: true,
         },
         Case {
             name: "silent flows stop counting",
-            idle_floor: LoadConfig::default().idle_floor,
-            swapped: false,
+            min_idle_time: LoadConfig::default().min_idle_time,
+            expects_spill: false,
         },
     ];
     for case in cases {
         let load = LoadConfig {
-            idle_floor: case.idle_floor,
+            min_idle_time: case.min_idle_time,
             ..LoadConfig::default()
         };
         let config = PolicyConfig {
@@ -303,12 +304,17 @@
         let mut zones = TwoZones::new(config);
         zones.tick();
         for _request in 0..16 {
-            zones.begin(0);
-            zones.begin(1);
+            zones.open_flow(0);
+            zones.open_flow(1);
         }
         zones.open.clear();
-        zones.play(&[0, 1, 2, 3], Duration::from_secs(3));
-        let left = zones.play(&[0, 1, 2, 3], Duration::from_secs(5));
-        assert_eq!(left > 0.02, case.swapped, "{}: {left:.2} left", case.name);
+        zones.run_traffic(&[0, 1, 2, 3], Duration::from_secs(3));
+        let spilled = zones.run_traffic(&[0, 1, 2, 3], Duration::from_secs(5));
+        assert_eq!(
+            spilled > 0.02,
+            case.expects_spill,
+            "{}: {spilled:.2} went to another zone",
+            case.name
+        );
     }
 }
--- a/packet/tests/test_load_exchange.rs
+++ b/packet/tests/test_load_exchange.rs
@@ -1,4 +1,4 @@
-//! Tests of the load exchange: which services are contended, which errors are sheds, and what hosts learn.
+//! Tests of the load exchange: conditions of contention, sheds and the load that hosts receive.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use lagoonproxy_packet::load::load_report::LoadDigest;
 use lagoonproxy_packet::load::load_report::ServiceDigest;
 use lagoonproxy_packet::load::load_report::service_tag;
-use lagoonproxy_packet::load::load_view::LoadExchangeConfig;
+use lagoonproxy_packet::load::load_state::pressure_with_sheds;
+use lagoonproxy_packet::load::load_state::shed_share;
+use lagoonproxy_packet::load::load_state::slot_pressure;
+use lagoonproxy_packet::load::load_tracker::LoadExchangeConfig;
 use lagoonproxy_packet::load::request_meter::ClassCounts;
 use lagoonproxy_packet::load::request_meter::ClassMeters;
 use lagoonproxy_packet::load::request_meter::RequestCounts;
 use lagoonproxy_packet::load::request_meter::RequestWindow;
-use lagoonproxy_packet::load::service_room::raised_pressure;
-use lagoonproxy_packet::load::service_room::shed_share;
-use lagoonproxy_packet::load::service_room::slot_pressure;
 use lagoonproxy_packet::load::shed_detection::is_shed;
 use lagoonproxy_packet::packet_action::DecisionEvent;
 use lagoonproxy_packet::packet_action::PacketOutput;
@@ -40,11 +40,15 @@
     let counts = window.ended_spans();
     assert_eq!((counts.answered, counts.time), (18, 3600), "spans 3 to 6");
     assert_eq!(
-        window.take_unsent().answered,
+        window.take_unreported().answered,
         21,
-        "all since the last report"
+        "all requests since the last report"
+    );
+    assert_eq!(
+        window.take_unreported().answered,
+        0,
+        "each request is reported once"
     );
-    assert_eq!(window.take_unsent().answered, 0, "each request once");
 }
 
 #[test]
@@ -93,12 +97,12 @@
         case("queues longer than the minimum", 90_000, 10, 20, 100, 9000),
         case("more sheds than arrivals", 5000, 10, 200, 100, 22_000),
         case("no arrivals", 0, 10, 0, 0, 0),
-        case("absurd", u64::MAX, 1, 0, 0, u32::MAX),
+        case("largest load", u64::MAX, 1, 0, 0, u32::MAX),
     ];
     for case in cases {
         let config = LoadExchangeConfig::default();
         let plain = slot_pressure(case.in_progress, case.slots);
-        let pressure = raised_pressure(&config, plain, shed_share(case.shed, case.arrivals));
+        let pressure = pressure_with_sheds(&config, plain, shed_share(case.shed, case.arrivals));
         assert_eq!(pressure, case.pressure, "{}", case.name);
     }
 }
@@ -119,7 +123,8 @@
     }
 }
 
-/// What makes a service of two upstreams with 2 slots each contended on a host.
+/// Conditions under which a host regards a service of two upstreams with two slots each as
+/// contended.
 #[test]
 fn test_contention_conditions() {
     struct ContentionCase {
@@ -155,17 +160,17 @@
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2]);
-        hear_peers(&mut rig, case.peers);
+        receive_heartbeats(&mut rig, case.peers);
         let mut flows = flows_to(&[case.flows / 2, case.flows.div_ceil(2)]);
-        work(&mut rig, &mut flows, 1600);
+        run_flows(&mut rig, &mut flows, 1600);
         for flow in flows.iter_mut().take(case.short_errors) {
             let heads = [flow.request(), flow.response(ERROR_BYTES), flow.request()];
             for head in heads {
                 rig.packet(&head);
             }
-            rig.packet(&flow.response(USUAL_BYTES));
+            rig.packet(&flow.response(RESPONSE_BYTES));
         }
-        work(&mut rig, &mut flows, 400);
+        run_flows(&mut rig, &mut flows, 400);
         assert_eq!(is_contended(&rig), case.contended, "{}", case.name);
     }
 }
@@ -174,20 +179,17 @@
 fn test_contention_ends_after_three_seconds() {
     let mut rig = CoreRig::with_ledger(&[1]);
     let mut flows = flows_to(&[8]);
-    work(&mut rig, &mut flows, 2000);
+    run_flows(&mut rig, &mut flows, 2000);
     assert!(is_contended(&rig));
     rig.pass(2900);
     assert!(is_contended(&rig), "2.9 s after the last request");
     rig.pass(2000);
-    assert!(
-        !is_contended(&rig),
-        "the load of the last second is over since 3 s"
-    );
+    assert!(!is_contended(&rig), "4.9 s after the last request");
     let record = rig.core.upstreams().records().next().expect("one upstream");
     assert_eq!(
         record.load,
         Default::default(),
-        "calm decisions see no load"
+        "no load is set without contention"
     );
     let changes = rig.events.iter().filter_map(|event| match event {
         DecisionEvent::Contention { contended, .. } => Some(*contended),
@@ -196,23 +198,24 @@
     assert_eq!(
         changes.collect::<Vec<bool>>(),
         [true, false],
-        "logged once each"
+        "each change is logged once"
     );
 }
 
-/// Guards against a dead upstream that makes its service look contended: requests that waited for it until
-/// another host answered add 500 ms at most.
+/// Guards against a service that becomes contended because of a dead upstream: a request that waits
+/// for a response until the upstream is replaced contributes 500 ms at most.
 #[test]
-fn test_long_waits_are_no_load() {
+fn test_long_waits_add_no_load() {
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     let mut flows = flows_to(&[1, 1]);
     for _round in 0..3 {
-        work_with(&mut rig, &mut flows, 3020, 3000, USUAL_BYTES);
+        run_flows_with(&mut rig, &mut flows, 3020, 3000, RESPONSE_BYTES);
         assert!(!is_contended(&rig));
     }
 }
 
-/// Guards against contention of a service that this zone cannot relieve: it has no upstream in the zone.
+/// Guards against contention of a service that has no upstream in the zone, whose load the zone
+/// cannot reduce.
 #[test]
 fn test_service_without_local_upstreams_is_never_contended() {
     let away = UpstreamEntry {
@@ -221,15 +224,18 @@
     };
     let mut rig = CoreRig::with_entries(vec![away]);
     let mut flows = flows_to(&[12]);
-    work(&mut rig, &mut flows, 2000);
+    run_flows(&mut rig, &mut flows, 2000);
     assert!(!is_contended(&rig));
     rig.core
-        .heard_digest(rig.now, peer(0), &digest(1, true, 5000));
+        .handle_digest(rig.now, peer(0), &digest(1, true, 5000));
     rig.pass(300);
-    assert!(!is_contended(&rig), "not by a digest either");
+    assert!(
+        !is_contended(&rig),
+        "a digest does not make it contended either"
+    );
 }
 
-/// A digest of the ledger from so many hosts.
+/// Returns a digest of the `ledger` service with reports of `reporters` hosts.
 fn digest(reporters: u32, is_contended: bool, pressure: u32) -> LoadDigest {
     LoadDigest {
         sequence: 1,
@@ -274,7 +280,7 @@
         case("from one host of eight", digest(1, true, 900), 200, true, 0),
         case("older than a second", digest(8, true, 900), 1500, true, 0),
         case(
-            "over since three seconds",
+            "ended more than three seconds ago",
             digest(8, true, 900),
             5000,
             false,
@@ -283,40 +289,40 @@
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2]);
-        hear_peers(&mut rig, 7);
+        receive_heartbeats(&mut rig, 7);
         rig.pass(300);
-        rig.core.heard_digest(rig.now, peer(0), &case.digest);
+        rig.core.handle_digest(rig.now, peer(0), &case.digest);
         rig.pass(case.wait);
-        let room = rig.core.load().room(rig.now, 0);
-        let found = (room.is_contended, room.pressure);
+        let contention = rig.core.load().room(rig.now, 0);
+        let found = (contention.is_contended, contention.pressure);
         assert_eq!(found, (case.contended, case.pressure), "{}", case.name);
     }
 }
 
-/// Guards against sheds that eject busy upstreams, and against failures that pass for sheds: upstream 1 fails each
-/// request of four of its flows by short errors.
+/// Guards against sheds that eject busy upstreams, and against failures that are counted as sheds.
+/// Upstream 1 responds to each request of four of its flows with a short error.
 #[test]
 fn test_sheds_and_failures() {
     struct ShedCase {
         name: &'static str,
-        /// Flows to upstream 1 and to upstream 2, which has the same slots.
+        /// Numbers of flows to upstreams 1 and 2, which have equal slots.
         flows: [u16; 2],
-        /// Milliseconds until the short errors.
-        took: u64,
+        /// Milliseconds from a request to its short error.
+        response_ms: u64,
         bytes: u32,
         is_shed: bool,
         is_failing: bool,
     }
-    let case = |name, flows, took, bytes, is_shed, is_failing| ShedCase {
+    let case = |name, flows, response_ms, bytes, is_shed, is_failing| ShedCase {
         name,
         flows,
-        took,
+        response_ms,
         bytes,
         is_shed,
         is_failing,
     };
     let cases = [
-        case("in calm", [2, 0], 5, ERROR_BYTES, false, true),
+        case("service not contended", [2, 0], 5, ERROR_BYTES, false, true),
         case("full upstream", [7, 0], 5, ERROR_BYTES, true, false),
         case("full service", [2, 12], 5, ERROR_BYTES, true, false),
         case(
@@ -335,7 +341,14 @@
             false,
             true,
         ),
-        case("usual size", [2, 12], 5, USUAL_BYTES, false, false),
+        case(
+            "response of usual size",
+            [2, 12],
+            5,
+            RESPONSE_BYTES,
+            false,
+            false,
+        ),
         case(
             "free upstream of a contended service",
             [1, 6],
@@ -348,23 +361,23 @@
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2]);
         let mut flows = flows_to(&case.flows);
-        work(&mut rig, &mut flows, 2000);
+        run_flows(&mut rig, &mut flows, 2000);
         let mut failing: Vec<LoadFlow> = (900..904)
             .map(|number| LoadFlow::new(number, 1, 0))
             .collect();
-        for _turn in 0..20 {
+        for _cycle in 0..20 {
             for flow in &mut failing {
                 rig.packet(&flow.request());
             }
-            rig.pass(case.took);
+            rig.pass(case.response_ms);
             for flow in &mut failing {
                 rig.packet(&flow.response(case.bytes));
             }
-            work(&mut rig, &mut flows, 40);
+            run_flows(&mut rig, &mut flows, 40);
         }
         let status = rig.core.load().status(rig.now, 0).expect("known");
         let record = rig.core.upstreams().get(0);
-        let failures = rig.core.evidence().failures();
+        let failures = rig.core.flow_tracker().failures();
         assert_eq!(status.sheds > 0, case.is_shed, "{}", case.name);
         assert_eq!(
             record.answers.is_failing(),
@@ -393,8 +406,8 @@
         is_shed,
     };
     let cases = [
-        case("calm", false, 9000, 9000, false),
-        case("free", true, 1999, 999, false),
+        case("not contended", false, 9000, 9000, false),
+        case("free upstream", true, 1999, 999, false),
         case("full upstream", true, 2000, 0, true),
         case("full service", true, 0, 1000, true),
     ];
@@ -410,22 +423,23 @@
     }
 }
 
-/// Guards against a share of sheds so high that the mean size of responses falls until sheds pass for responses.
+/// Guards against sheds that lower the usual size of responses until they are no longer recognized
+/// as short errors.
 #[test]
 fn test_sheds_do_not_become_the_usual_size() {
     let mut rig = CoreRig::with_ledger(&[1]);
     let mut flows = flows_to(&[8]);
-    work(&mut rig, &mut flows, 2000);
-    work_with(&mut rig, &mut flows, 2000, 5, ERROR_BYTES);
+    run_flows(&mut rig, &mut flows, 2000);
+    run_flows_with(&mut rig, &mut flows, 2000, 5, ERROR_BYTES);
     let sheds = rig.core.load().status(rig.now, 0).expect("known").sheds;
-    assert!(sheds >= 8 * 78, "{sheds} of 640");
+    assert!(sheds >= 8 * 78, "{sheds} sheds of 640 requests");
 }
 
-/// Ranks count only classes with recent demand.
+/// The rank of a class counts only classes with recent demand.
 #[test]
 fn test_active_classes() {
     let mut rig = CoreRig::with_ledger(&[1]);
-    let mut config = usual_routes(2);
+    let mut config = default_routes(2);
     config.routes[0].priority = RequestPriority(4);
     let mut urgent = config.routes[0].clone();
     urgent.address = certs();
@@ -443,25 +457,25 @@
         (class.rank, class.classes)
     };
     rig.open(1, 0);
-    assert_eq!(active(&rig), (0, 1), "nobody uses the urgent route");
+    assert_eq!(active(&rig), (0, 1), "no flow of the urgent route");
     let mut head = open_head(2, 0);
     head.service = certs();
     rig.packet(&head);
-    assert_eq!(active(&rig), (1, 2), "somebody does");
+    assert_eq!(active(&rig), (1, 2), "one flow of the urgent route");
     rig.pass(3100);
-    assert_eq!(active(&rig), (0, 1), "nobody did for 3 s");
+    assert_eq!(active(&rig), (0, 1), "no flow of the urgent route for 3 s");
 }
 
-/// Guards against packets whose cost depends on the heap while a service is contended.
+/// Guards against heap allocations per packet while a service is contended.
 #[test]
 fn test_packets_of_open_flows_allocate_nothing_while_contended() {
     let mut rig = CoreRig::with_ledger(&[1]);
     let mut flows = flows_to(&[20]);
-    work(&mut rig, &mut flows, 2000);
+    run_flows(&mut rig, &mut flows, 2000);
     assert!(is_contended(&rig));
     let mut output = PacketOutput::default();
     let mut allocations = 0;
-    for (turn, bytes) in [USUAL_BYTES, ERROR_BYTES, USUAL_BYTES]
+    for (round, bytes) in [RESPONSE_BYTES, ERROR_BYTES, RESPONSE_BYTES]
         .into_iter()
         .enumerate()
     {
@@ -475,24 +489,24 @@
                 rig.core.packet(rig.now, head, &mut output);
             }
         });
-        allocations += counted.count_total * u64::from(turn > 0);
+        allocations += counted.count_total * u64::from(round > 0);
     }
-    assert_eq!(allocations, 0, "once the output has its room");
+    assert_eq!(allocations, 0, "after the output buffer has grown");
     let status = rig.core.load().status(rig.now, 0).expect("known");
-    assert_eq!(status.sheds, 20, "sheds are among them");
+    assert_eq!(status.sheds, 20, "one shed per flow");
 }
 
-/// Guards against load that hosts derive from their few flows: each host of a zone knows the load of each upstream
-/// within 10 % of the truth, which is half a request for each flow.
+/// Guards against load that hosts derive from their own few flows alone. The load of each upstream
+/// at each host deviates by at most 10 % from the actual one, which is half a request per flow.
 #[test]
 fn test_every_host_knows_the_load_of_the_zone() {
     for hosts in [8, 30] {
         let counts = [2, 4, 6, 8, 10, 12, 14, 16, 18, 20];
         let mut fleet = LoadFleet::new(hosts, &counts);
-        fleet.work(4000);
+        fleet.run_flows(4000);
         assert_eq!(fleet.contended_hosts(), usize::from(hosts), "{hosts} hosts");
         for host in 0..usize::from(hosts) {
-            let (reporters, age) = fleet.view(host);
+            let (reporters, age) = fleet.load_status(host);
             assert!(reporters + 1 >= u32::from(hosts), "{reporters} of {hosts}");
             assert!(age < Duration::from_secs(1), "{hosts} hosts: {age:?}");
             for (known, flows) in fleet.loads(host).into_iter().zip(counts) {
@@ -507,21 +521,22 @@
         assert_eq!(fleet.aggregators().len(), 1, "{hosts} hosts");
         let loads = fleet.rig.hosts.iter().map(|host| host.core.load());
         let rejections: u64 = loads.map(|load| load.rejections()).sum();
-        assert_eq!(rejections, 0, "hosts send only what is valid");
+        assert_eq!(rejections, 0, "hosts send only valid datagrams");
         let longest = fleet.rig.load_sent.iter().map(|(_at, _host, bytes)| *bytes);
-        assert!(longest.max().expect("some were sent") <= 1400);
+        assert!(longest.max().expect("datagrams were sent") <= 1400);
     }
 }
 
-/// At the size aimed at the exchange works with an interval of a second.
+/// Guards against an exchange that fails or exceeds its bandwidth at the target size of a zone,
+/// where its interval is one second.
 #[test]
 fn test_exchange_of_a_large_zone() {
     let counts = [40; 20];
     let mut fleet = LoadFleet::new(300, &counts);
     fleet.rig.pass(26_000);
-    fleet.work(5000);
+    fleet.run_flows(5000);
     assert_eq!(fleet.contended_hosts(), 300);
-    let (reporters, _age) = fleet.view(299);
+    let (reporters, _age) = fleet.load_status(299);
     assert!(reporters >= 270, "{reporters}");
     let since = fleet.rig.now - Duration::from_secs(2);
     let recent = fleet
@@ -535,10 +550,10 @@
     }
     let aggregators = fleet.aggregators();
     println!(
-        "bytes a second of the aggregators {aggregators:?}: {:?}",
+        "bytes per second of the aggregators {aggregators:?}: {:?}",
         by_host.get(&aggregators[0])
     );
-    // Hosts of a zone this large may differ in who is alive.
+    // Hosts of a zone this large may differ in which hosts they regard as alive.
     assert!(aggregators.len() <= 2);
     for (host, bytes) in by_host {
         assert!(
@@ -548,46 +563,50 @@
     }
 }
 
-/// Guards against hosts that keep a service contended only because they report: the load has fallen to half of the
-/// slots, and each host has one flow.
+/// Guards against hosts that keep a service contended by reporting alone: the load falls to half of
+/// the slots, and each host has one flow.
 #[test]
 fn test_contention_of_a_zone_ends_with_its_load() {
     let mut fleet = LoadFleet::new(8, &[6; 4]);
-    fleet.work(3000);
+    fleet.run_flows(3000);
     assert_eq!(fleet.contended_hosts(), 8);
     fleet.flows.truncate(8);
     for (host, flow) in fleet.flows.iter_mut().enumerate() {
         flow.host = host;
     }
-    fleet.work(5500);
+    fleet.run_flows(5500);
     assert_eq!(fleet.contended_hosts(), 0);
     let sent = fleet.rig.load_sent.len();
-    fleet.work(2000);
-    assert_eq!(fleet.rig.load_sent.len(), sent, "nothing is sent any more");
+    fleet.run_flows(2000);
+    assert_eq!(
+        fleet.rig.load_sent.len(),
+        sent,
+        "nothing is sent after the contention"
+    );
 }
 
-/// Guards against errors that are far apart and make a service contended together.
+/// Guards against contention by two short errors that are more than a second apart.
 #[test]
 fn test_short_errors_far_apart_do_not_count_together() {
     for (pause, contended) in [(600, true), (1400, false)] {
         let mut rig = CoreRig::with_ledger(&[1, 2]);
         let mut flows = flows_to(&[2, 2]);
-        work(&mut rig, &mut flows, 1600);
+        run_flows(&mut rig, &mut flows, 1600);
         for _error in 0..2 {
             rig.packet(&flows[0].request());
             rig.packet(&flows[0].response(ERROR_BYTES));
-            work(&mut rig, &mut flows, pause);
+            run_flows(&mut rig, &mut flows, pause);
         }
         assert_eq!(is_contended(&rig), contended, "{pause} ms apart");
     }
 }
 
-/// Guards against traffic in calm: flows with little load cause no datagram about load.
+/// Guards against load datagrams while no service is contended.
 #[test]
-fn test_nothing_is_sent_in_calm() {
+fn test_nothing_is_sent_without_contention() {
     let mut fleet = LoadFleet::new(8, &[1; 20]);
     fleet.rig.hosts[0].core.due_load_datagrams(fleet.rig.now);
-    fleet.work(3000);
+    fleet.run_flows(3000);
     assert_eq!(fleet.contended_hosts(), 0);
     assert!(fleet.rig.load_sent.is_empty());
 }
--- a/packet/tests/test_load_failures.rs
+++ b/packet/tests/test_load_failures.rs
@@ -1,4 +1,4 @@
-//! Tests of the load exchange under failures, one each.
+//! Tests of the load exchange under failures, one failure per test.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use lagoonproxy_packet::load::load_report::ServiceDigest;
 use lagoonproxy_packet::load::load_report::ServiceReport;
 use lagoonproxy_packet::load::load_report::service_tag;
-use lagoonproxy_packet::load::load_view::LoadExchangeConfig;
+use lagoonproxy_packet::load::load_tracker::LoadExchangeConfig;
 use lagoonproxy_packet::load::report_store::ReportStore;
 use lagoonproxy_packet::load::request_meter::ClassCounts;
 use lagoonproxy_packet::load::request_meter::RequestCounts;
@@ -20,20 +20,20 @@
 use crate::core_rig::*;
 use crate::load_rig::*;
 
-/// Flows to four upstreams with two slots each: a pressure of 1.5.
-const LOADED: [u16; 4] = [6; 4];
+/// Flows to four upstreams with two slots each, which result in a pressure of 1.5.
+const CONTENDED_FLOWS: [u16; 4] = [6; 4];
 
-/// A loaded zone of eight hosts, and its aggregator.
-fn loaded_zone() -> (LoadFleet, usize) {
-    let mut fleet = LoadFleet::new(8, &LOADED);
-    fleet.work(3000);
+/// Returns a contended zone of eight hosts and the index of its aggregator.
+fn contended_zone() -> (LoadFleet, usize) {
+    let mut fleet = LoadFleet::new(8, &CONTENDED_FLOWS);
+    fleet.run_flows(3000);
     assert_eq!(fleet.contended_hosts(), 8);
     let aggregators = fleet.aggregators();
     assert_eq!(aggregators.len(), 1);
     (fleet, aggregators[0])
 }
 
-/// Moves a host's flows to its neighbours, as the fabric does.
+/// Moves a host's flows to other hosts, as the network fabric does.
 fn move_flows(fleet: &mut LoadFleet, host: usize) {
     for (flow, step) in fleet.flows.iter_mut().zip((1..8).cycle()) {
         if flow.host == host {
@@ -42,171 +42,177 @@
     }
 }
 
-/// Lets the flows work until hosts had the time to replace the aggregator; no host's view may be older than a digest
-/// is used, and the time between two updates.
-fn work_until_replaced(fleet: &mut LoadFleet, lost: usize) {
+/// Runs the flows until hosts had time to replace the aggregator. The load at a host must never be
+/// older than the lifetime of a digest plus the time between two updates.
+fn run_until_replaced(fleet: &mut LoadFleet, failed_host: usize) {
     for _step in 0..25 {
-        fleet.work(100);
-        for host in (0..8).filter(|host| *host != lost) {
-            let (_reporters, age) = fleet.view(host);
+        fleet.run_flows(100);
+        for host in (0..8).filter(|host| *host != failed_host) {
+            let (_reporters, age) = fleet.load_status(host);
             assert!(age <= Duration::from_millis(1300), "host {host}: {age:?}");
         }
     }
     assert!(fleet.contended_hosts() >= 7);
-    assert!(fleet.aggregators().iter().any(|host| *host != lost));
-    for host in (0..8).filter(|host| *host != lost) {
-        let (reporters, age) = fleet.view(host);
+    assert!(fleet.aggregators().iter().any(|host| *host != failed_host));
+    for host in (0..8).filter(|host| *host != failed_host) {
+        let (reporters, age) = fleet.load_status(host);
         assert!(reporters >= 7, "host {host}: {reporters}");
         assert!(age <= Duration::from_millis(700), "host {host}: {age:?}");
     }
 }
 
-/// Guards against hosts that go on with an old digest, or without any, after the aggregator has died.
+/// Guards against hosts that keep an old digest or have none after the aggregator has died.
 #[test]
 fn test_aggregator_that_dies_is_replaced() {
-    let (mut fleet, aggregator) = loaded_zone();
+    let (mut fleet, aggregator) = contended_zone();
     fleet.rig.kill(aggregator);
     move_flows(&mut fleet, aggregator);
-    work_until_replaced(&mut fleet, aggregator);
+    run_until_replaced(&mut fleet, aggregator);
 }
 
-/// Guards against a frozen aggregator that is waited for, and one that spoils the exchange when it goes on.
+/// Guards against hosts that wait for a frozen aggregator, and against an aggregator that disturbs
+/// the exchange when it resumes.
 #[test]
 fn test_aggregator_that_freezes_is_replaced() {
-    let (mut fleet, aggregator) = loaded_zone();
+    let (mut fleet, aggregator) = contended_zone();
     fleet.rig.freeze(aggregator, Duration::from_secs(3));
     move_flows(&mut fleet, aggregator);
-    work_until_replaced(&mut fleet, aggregator);
-    fleet.work(3000);
+    run_until_replaced(&mut fleet, aggregator);
+    fleet.run_flows(3000);
     for host in 0..8 {
-        let (reporters, age) = fleet.view(host);
+        let (reporters, age) = fleet.load_status(host);
         assert!(reporters >= 7, "host {host}: {reporters}");
         assert!(age <= Duration::from_millis(700), "host {host}: {age:?}");
     }
 }
 
-/// Guards against hosts that wait for an aggregator that none of them reaches, and against a host alone that uses what
-/// it heard before it was cut off.
+/// Guards against hosts that wait for an unreachable aggregator, and against an isolated host that
+/// continues to use load received before the partition.
 #[test]
 fn test_aggregator_that_is_cut_off_is_replaced() {
-    let (mut fleet, aggregator) = loaded_zone();
+    let (mut fleet, aggregator) = contended_zone();
     fleet.rig.part([aggregator]);
-    work_until_replaced(&mut fleet, aggregator);
-    let (reporters, age) = fleet.view(aggregator);
-    assert_eq!(reporters, 1, "it uses its own counts");
+    run_until_replaced(&mut fleet, aggregator);
+    let (reporters, age) = fleet.load_status(aggregator);
+    assert_eq!(reporters, 1, "the isolated host uses its own counts");
     assert!(age <= Duration::from_millis(700), "{age:?}");
 }
 
-/// Guards against a loss of other zones that changes the exchange within this one.
+/// Guards against the loss of other zones affecting the exchange within a zone.
 #[test]
-fn test_zone_that_is_cut_off_goes_on() {
-    let mut fleet = LoadFleet::with_zones(2, 8, &LOADED);
+fn test_exchange_continues_without_other_zones() {
+    let mut fleet = LoadFleet::with_zones(2, 8, &CONTENDED_FLOWS);
     fleet.rig.part(8..16);
-    fleet.work(4000);
+    fleet.run_flows(4000);
     for host in 0..8 {
-        assert_eq!(fleet.view(host).0, 8, "host {host}");
+        assert_eq!(fleet.load_status(host).0, 8, "host {host}");
     }
-    assert_eq!(fleet.contended_hosts(), 8, "of this zone");
+    assert_eq!(fleet.contended_hosts(), 8, "hosts of this zone");
 }
 
-/// Guards against a view of half the zone while two hosts are taken for the aggregator.
+/// Guards against hosts that use the load of a part of the zone while two hosts aggregate.
 #[test]
 fn test_digest_with_more_reporters_is_used() {
     let mut rig = CoreRig::with_ledger(&[1, 2]);
-    hear_peers(&mut rig, 7);
+    receive_heartbeats(&mut rig, 7);
     rig.pass(300);
     let mut smaller = ledger_digest(1, 3, 900);
     rig.core
-        .heard_digest(rig.now, peer(0), &ledger_digest(1, 5, 800));
+        .handle_digest(rig.now, peer(0), &ledger_digest(1, 5, 800));
     rig.pass(100);
-    rig.core.heard_digest(rig.now, peer(1), &smaller);
+    rig.core.handle_digest(rig.now, peer(1), &smaller);
     rig.pass(300);
     assert_eq!(rig.core.load().room(rig.now, 0).pressure, 800 * 8 / 5);
     rig.pass(500);
     smaller.sequence = 2;
-    rig.core.heard_digest(rig.now, peer(1), &smaller);
+    rig.core.handle_digest(rig.now, peer(1), &smaller);
     rig.pass(300);
     let pressure = rig.core.load().room(rig.now, 0).pressure;
-    assert_eq!(pressure, 900 * 8 / 3, "the other is older than a second");
+    assert_eq!(
+        pressure,
+        900 * 8 / 3,
+        "the larger digest is older than a second"
+    );
 }
 
-/// Guards against hosts that know nobody yet, each of which aggregates, and that keep out the digest of the zone.
+/// Guards against hosts that know no others yet, each of which aggregates its own reports and sends
+/// a digest, displacing the digest of the zone.
 #[test]
-fn test_many_small_digests_keep_no_larger_one_out() {
+fn test_small_digests_do_not_block_larger_one() {
     let mut rig = CoreRig::with_ledger(&[1, 2]);
-    hear_peers(&mut rig, 7);
+    receive_heartbeats(&mut rig, 7);
     rig.pass(300);
     for sender in 0..20 {
         rig.core
-            .heard_digest(rig.now, peer(sender), &ledger_digest(1, 1, 3000));
+            .handle_digest(rig.now, peer(sender), &ledger_digest(1, 1, 3000));
     }
     rig.core
-        .heard_digest(rig.now, peer(20), &ledger_digest(1, 8, 900));
+        .handle_digest(rig.now, peer(20), &ledger_digest(1, 8, 900));
     rig.pass(100);
     assert_eq!(rig.core.load().room(rig.now, 0).pressure, 900);
 }
 
-/// Guards against a host that takes part in the exchange only late after its start.
+/// Guards against a host that joins the exchange late after its start.
 #[test]
 fn test_host_that_has_just_started_learns_the_load() {
-    let (mut fleet, aggregator) = loaded_zone();
+    let (mut fleet, aggregator) = contended_zone();
     let host = (aggregator + 1) % 8;
     fleet.rig.kill(host);
-    fleet.work(200);
+    fleet.run_flows(200);
     fleet.rig.start(host, Duration::ZERO);
-    fleet.work(1500);
+    fleet.run_flows(1500);
     assert_eq!(fleet.contended_hosts(), 8);
-    let (reporters, age) = fleet.view(host);
+    let (reporters, age) = fleet.load_status(host);
     assert!(reporters >= 7, "{reporters}");
     assert!(age <= Duration::from_millis(700), "{age:?}");
 }
 
-/// Guards against decisions by what a host knew before it was frozen, and against reports that other hosts ignore
-/// because their numbers begin anew.
+/// Guards against decisions from load received before a host was frozen, and against restarted
+/// sequences after it, which would make other hosts ignore its digests.
 #[test]
-fn test_host_that_was_frozen_begins_anew() {
+fn test_frozen_host_discards_old_load() {
     let mut rig = CoreRig::with_ledger(&[1, 2]);
-    hear_peers(&mut rig, 3);
+    receive_heartbeats(&mut rig, 3);
     let mut flows = flows_to(&[6, 6]);
-    work(&mut rig, &mut flows, 2000);
+    run_flows(&mut rig, &mut flows, 2000);
     rig.core
-        .heard_digest(rig.now, peer(0), &ledger_digest(9, 4, 2000));
+        .handle_digest(rig.now, peer(0), &ledger_digest(9, 4, 2000));
     rig.pass(300);
     let before = digest_sequence(&mut rig);
     assert!(is_contended(&rig));
     rig.now += Duration::from_secs(2);
     rig.pass(300);
-    let room = rig.core.load().room(rig.now, 0);
-    assert!(!room.is_contended);
-    assert_eq!(room.pressure, 0);
+    let contention = rig.core.load().room(rig.now, 0);
+    assert!(!contention.is_contended);
+    assert_eq!(contention.pressure, 0);
     let records = rig.core.upstreams().records();
     assert!(
         records
             .map(|record| record.load)
             .all(|load| load == Default::default())
     );
-    work(&mut rig, &mut flows, 2000);
-    assert!(is_contended(&rig), "from what it sees now");
+    run_flows(&mut rig, &mut flows, 2000);
+    assert!(is_contended(&rig), "from requests after the freeze");
     assert!(digest_sequence(&mut rig) > before);
 }
 
-/// The number of the next digest of a host that aggregates.
+/// Returns the highest sequence of the next digests of an aggregating host.
 fn digest_sequence(rig: &mut CoreRig) -> u64 {
-    hear_peers(rig, 3);
-    let sent = sent_within(rig, 500);
+    receive_heartbeats(rig, 3);
+    let sent = datagrams_sent_within(rig, 500);
     let digests = sent.iter().filter_map(|sent| match &sent.datagram {
         PeerDatagram::Digest(digest) => Some(digest.sequence),
         _ => None,
     });
-    digests.max().expect("it aggregates")
+    digests.max().expect("the host aggregates")
 }
 
-/// Guards against requests that count twice, or against a loss that looks like less load.
+/// Guards against requests that are counted twice, and against lost reports that lower the load.
 #[test]
 fn test_reports_that_are_lost_repeated_or_reordered() {
     struct ArrivalCase {
         name: &'static str,
-        /// Numbers of the reports in the order in which they come.
+        /// Sequences of the reports in the order of arrival.
         arrivals: &'static [u64],
         answered: u64,
     }
@@ -241,23 +247,23 @@
     }
 }
 
-/// Guards against a second aggregator after each lost datagram: with 48 hosts a digest or a heartbeat is lost every few
-/// seconds.
+/// Guards against a second aggregator after each lost datagram: with 48 hosts a digest or a
+/// heartbeat is lost every few seconds.
 #[test]
-fn test_lost_datagrams_make_no_second_aggregator() {
+fn test_lost_datagrams_cause_no_second_aggregator() {
     let mut fleet = LoadFleet::new(48, &[8; 14]);
     fleet.rig.pass(2000);
-    fleet.work(3000);
+    fleet.run_flows(3000);
     let aggregators = fleet.aggregators();
     assert_eq!(aggregators.len(), 1);
     for _second in 0..10 {
-        fleet.work(1000);
+        fleet.run_flows(1000);
         assert_eq!(fleet.aggregators(), aggregators);
     }
 }
 
-/// Guards against a sound aggregator that is skipped because one of its digests was lost: 60 hosts have an interval of
-/// 600 ms, and the next digest comes one poll late.
+/// Guards against excluding a healthy aggregator after the loss of a single digest. With 60 hosts
+/// the interval is 600 ms, and the digest after the lost one arrives one poll late.
 #[test]
 fn test_aggregator_is_kept_after_one_lost_digest() {
     for phase in 0..6 {
@@ -265,15 +271,15 @@
         let mut flows = flows_to(&[1, 1]);
         let mut targets = Vec::new();
         for step in 0..60_u64 {
-            hear_peers(&mut rig, 58);
-            hear_peer_with(&mut rig, 60, 900);
-            work(&mut rig, &mut flows, 80);
+            receive_heartbeats(&mut rig, 58);
+            receive_heartbeat(&mut rig, 60, 900);
+            run_flows(&mut rig, &mut flows, 80);
             rig.pass(20);
             let is_lost = step == 36 + phase || step == 42 + phase;
             let is_late = step == 43 + phase;
             if step % 6 == phase && !is_lost || is_late {
                 let digest = ledger_digest(step + 1, 60, 900);
-                rig.core.heard_digest(rig.now, peer(60), &digest);
+                rig.core.handle_digest(rig.now, peer(60), &digest);
             }
             let due = rig.core.due_load_datagrams(rig.now);
             targets.extend(due.into_iter().flat_map(|due| due.targets));
@@ -292,25 +298,25 @@
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.pass(300);
     rig.core
-        .heard_digest(rig.now, peer(0), &ledger_digest(2, 1, 600));
+        .handle_digest(rig.now, peer(0), &ledger_digest(2, 1, 600));
     rig.pass(500);
     rig.core
-        .heard_digest(rig.now, peer(0), &ledger_digest(1, 1, 500));
+        .handle_digest(rig.now, peer(0), &ledger_digest(1, 1, 500));
     rig.core
-        .heard_digest(rig.now, peer(0), &ledger_digest(2, 1, 400));
+        .handle_digest(rig.now, peer(0), &ledger_digest(2, 1, 400));
     rig.pass(100);
     assert_eq!(rig.core.load().room(rig.now, 0).pressure, 600);
     rig.pass(500);
     assert_eq!(
         rig.core.load().room(rig.now, 0).pressure,
         0,
-        "a second after the first of them"
+        "a second after the first digest"
     );
 }
 
-/// Guards against a host with wrong counts that spoils the view of its zone.
+/// Guards against a host with wrong counts that distorts the load of its zone.
 #[test]
-fn test_absurd_reports_are_rejected() {
+fn test_implausible_reports_are_rejected() {
     struct ReportCase {
         name: &'static str,
         report: LoadReport,
@@ -328,20 +334,24 @@
     };
     let cases = [
         case("usual", |_report| {}, true),
-        case("no time covered", |report| report.span = 0, false),
-        case("a day covered", |report| report.span = 86_400_000, false),
+        case("empty interval", |report| report.span = 0, false),
         case(
-            "500 ms a request",
+            "interval of a day",
+            |report| report.span = 86_400_000,
+            false,
+        ),
+        case(
+            "500 ms per request",
             |report| requests(report).time = 50_000,
             true,
         ),
         case(
-            "501 ms a request",
+            "501 ms per request",
             |report| requests(report).time = 50_100,
             false,
         ),
         case(
-            "time without requests",
+            "request time without requests",
             |report| requests(report).answered = 0,
             false,
         ),
@@ -356,7 +366,7 @@
             false,
         ),
         case(
-            "an upstream with more than its service",
+            "upstreams with more requests than their service",
             |report| {
                 let requests = report.services[0].requests;
                 report.services[0].upstreams = vec![(1, requests), (2, requests)];
@@ -364,7 +374,7 @@
             false,
         ),
         case(
-            "an upstream with absurd times",
+            "an upstream with request time and no requests",
             |report| {
                 let counts = RequestCounts {
                     time: 2000,
@@ -390,7 +400,7 @@
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1]);
-        rig.core.heard_load(rig.now, peer(0), &case.report);
+        rig.core.handle_load_report(rig.now, peer(0), &case.report);
         rig.pass(100);
         let reports = rejected(&rig);
         assert_eq!(reports, usize::from(!case.valid), "{}", case.name);
@@ -404,9 +414,9 @@
     }
 }
 
-/// Guards against an aggregator with wrong sums that makes a whole zone refuse callers.
+/// Guards against an aggregator with wrong sums that makes all hosts of a zone refuse callers.
 #[test]
-fn test_absurd_digests_are_rejected() {
+fn test_implausible_digests_are_rejected() {
     struct DigestCase {
         name: &'static str,
         change: fn(&mut LoadDigest),
@@ -419,9 +429,9 @@
     };
     let cases = [
         case("usual", |_digest| {}, true),
-        case("nobody reported", |digest| digest.reporters = 0, false),
+        case("no reporters", |digest| digest.reporters = 0, false),
         case(
-            "a million reported",
+            "a million reporters",
             |digest| digest.reporters = 1_000_000,
             false,
         ),
@@ -441,7 +451,7 @@
             true,
         ),
         case(
-            "over 500 ms a request",
+            "over 500 ms per request",
             |digest| digest.services[0].upstreams = vec![(1, rates(5010, 10_000))],
             false,
         ),
@@ -451,7 +461,7 @@
             false,
         ),
         case(
-            "absurd pressure",
+            "excessive pressure",
             |digest| digest.services[0].pressure = u32::MAX,
             false,
         ),
@@ -460,19 +470,19 @@
         let mut rig = CoreRig::with_ledger(&[1]);
         let mut digest = ledger_digest(1, 4, 900);
         (case.change)(&mut digest);
-        rig.core.heard_digest(rig.now, peer(0), &digest);
+        rig.core.handle_digest(rig.now, peer(0), &digest);
         rig.pass(300);
         assert_eq!(rejected(&rig), usize::from(!case.valid), "{}", case.name);
         assert_eq!(is_contended(&rig), case.valid, "{}", case.name);
     }
 }
 
-/// Guards against hosts with another configuration that demote the classes of this one: priorities that no route of this host
-/// has count as the least urgent.
+/// Guards against hosts with another configuration that demote the classes of this one: priorities
+/// that no route of this host has count as the least urgent.
 #[test]
 fn test_priorities_of_another_configuration() {
     let mut rig = CoreRig::with_ledger(&[1]);
-    let mut config = usual_routes(2);
+    let mut config = default_routes(2);
     config.routes[0].priority = RequestPriority(4);
     let mut other = config.routes[0].clone();
     other.address = certs();
@@ -489,7 +499,7 @@
         ..ClassCounts::default()
     };
     digest.services[0].classes = vec![(RequestPriority(1), asked), (RequestPriority(2), asked)];
-    rig.core.heard_digest(rig.now, peer(0), &digest);
+    rig.core.handle_digest(rig.now, peer(0), &digest);
     rig.pass(100);
     let class = |rank, classes, priority| RequestClass {
         rank,
@@ -501,16 +511,21 @@
     assert_eq!(
         active(0, 4),
         class(0, 2, 4),
-        "only the least urgent is in use"
+        "the unknown priorities count as the least urgent class"
+    );
+    assert_eq!(
+        active(1, 8),
+        class(0, 1, 8),
+        "no more urgent class is active"
     );
-    assert_eq!(active(1, 8), class(0, 1, 8), "nothing more urgent is");
 }
 
-/// Guards against one host whose upstreams do not fit its sums, and for which all hosts reject the digest.
+/// Guards against a report whose upstreams exceed its sum, which would make all hosts reject the
+/// digest that contains it.
 #[test]
-fn test_reports_that_contradict_themselves_spoil_no_digest() {
+fn test_inconsistent_report_does_not_invalidate_digest() {
     let mut rig = CoreRig::with_ledger(&[1]);
-    hear_peers(&mut rig, 1);
+    receive_heartbeats(&mut rig, 1);
     rig.pass(100);
     let mut report = ledger_report(1, 10, 2000);
     let counts = RequestCounts {
@@ -518,8 +533,8 @@
         ..RequestCounts::default()
     };
     report.services[0].upstreams = vec![(tag(1), counts)];
-    rig.core.heard_load(rig.now, peer(0), &report);
-    let sent = sent_within(&mut rig, 300);
+    rig.core.handle_load_report(rig.now, peer(0), &report);
+    let sent = datagrams_sent_within(&mut rig, 300);
     assert!(!sent.is_empty());
     assert_eq!(rig.core.load().rejections(), 0);
 }
--- a/packet/tests/test_load_reports.rs
+++ b/packet/tests/test_load_reports.rs
@@ -1,4 +1,4 @@
-//! Tests of reports and digests: what they contain, their size, and what arbitrary ones do.
+//! Tests of reports and digests: their contents, their length, and arbitrary input.
 
 use lagoonproxy_packet::ids::FlowTag;
 use lagoonproxy_packet::load::load_report::LoadDigest;
@@ -18,10 +18,10 @@
 use crate::core_rig::*;
 use crate::load_rig::*;
 
-/// Upstreams of a service at the size aimed at.
-const MANY: u32 = 5000;
+/// Target number of upstreams of a service.
+const UPSTREAM_COUNT: u32 = 5000;
 
-/// A host that knows this many upstreams of the ledger.
+/// Returns a host with `count` upstreams of the `ledger` service.
 fn rig_with(count: u32) -> CoreRig {
     let entries = (0..count).map(|number| UpstreamEntry {
         name: format!("many-{number}").into(),
@@ -31,28 +31,28 @@
     CoreRig::with_entries(entries.collect())
 }
 
-fn many_tag(number: u32) -> FlowTag {
+fn numbered_tag(number: u32) -> FlowTag {
     flow_tag(&format!("many-{number}").into())
 }
 
-/// The one digest that a host sends within 0.3 s.
+/// Returns the last digest that a host sends within 0.3 s, and its encoded length.
 fn next_digest(rig: &mut CoreRig) -> (LoadDigest, usize) {
-    let sent = sent_within(rig, 300);
+    let sent = datagrams_sent_within(rig, 300);
     let mut digests = sent.iter().filter_map(|sent| match &sent.datagram {
         PeerDatagram::Digest(digest) => Some((digest.clone(), sent)),
         _ => None,
     });
-    let (digest, sent) = digests.next_back().expect("it aggregates");
+    let (digest, sent) = digests.next_back().expect("the host aggregates");
     let bytes = sent.datagram.encode().expect("encoded").len();
     (digest, bytes)
 }
 
-/// Guards against datagrams that do not fit into a frame, and against load that is lost with the upstreams for which there is
-/// no room.
+/// Guards against digests that exceed the maximum length of a datagram, and against the loss of the
+/// load of upstreams that a digest does not list.
 #[test]
 fn test_digest_of_many_upstreams_fits_a_datagram() {
-    let mut rig = rig_with(MANY);
-    hear_peers(&mut rig, 50);
+    let mut rig = rig_with(UPSTREAM_COUNT);
+    receive_heartbeats(&mut rig, 50);
     rig.pass(100);
     for host in 0..50 {
         let first = u32::from(host) * 100;
@@ -64,7 +64,7 @@
                     answered,
                     shed: number % 3,
                 };
-                (many_tag(number), counts)
+                (numbered_tag(number), counts)
             })
             .collect();
         let mut requests = RequestCounts::default();
@@ -91,7 +91,7 @@
                 upstreams,
             }],
         };
-        rig.core.heard_load(rig.now, peer(host), &report);
+        rig.core.handle_load_report(rig.now, peer(host), &report);
     }
     let (digest, bytes) = next_digest(&mut rig);
     assert_eq!(rig.core.load().rejections(), 0);
@@ -100,14 +100,14 @@
     let service = &digest.services[0];
     let count = service.upstreams.len() as u32;
     assert!((60..=110).contains(&count), "{count}");
-    assert_eq!(count + service.others, MANY);
+    assert_eq!(count + service.others, UPSTREAM_COUNT);
     assert_eq!(service.classes.len(), 4);
     let listed: u64 = service
         .upstreams
         .iter()
         .map(|(_tag, rates)| rates.in_progress)
         .sum();
-    let sum = (listed + service.rest.in_progress) / (2 * u64::from(MANY));
+    let sum = (listed + service.rest.in_progress) / (2 * u64::from(UPSTREAM_COUNT));
     assert!(
         sum.abs_diff(service.pressure.into()) <= 1,
         "{sum}, {}",
@@ -119,7 +119,7 @@
         .map(|(_tag, rates)| rates.in_progress)
         .min();
     let mean = service.rest.in_progress / u64::from(service.others);
-    assert!(least > Some(mean), "the listed ones have the most");
+    assert!(least > Some(mean), "listed upstreams have the most load");
     rig.pass(100);
     let load = |rig: &CoreRig, tag| {
         let upstreams = rig.core.upstreams();
@@ -130,15 +130,16 @@
     };
     let (tag, rates) = service.upstreams[0];
     let scaled = rates.in_progress * 51 / 50;
-    assert_eq!(u64::from(load(&rig, tag)), scaled, "listed");
+    assert_eq!(u64::from(load(&rig, tag)), scaled, "listed upstream");
     assert_eq!(
-        u64::from(load(&rig, many_tag(0))),
+        u64::from(load(&rig, numbered_tag(0))),
         mean * 51 / 50,
-        "not listed"
+        "upstream that is not listed"
     );
 }
 
-/// Guards against reports that do not fit into a frame: a host with requests at 900 upstreams of many services.
+/// Guards against reports that exceed the maximum length of a datagram, with requests at 900
+/// upstreams of 60 services.
 #[test]
 fn test_report_of_many_upstreams_fits_a_datagram() {
     let entries = (0..900_u32).map(|number| UpstreamEntry {
@@ -164,18 +165,18 @@
         .map(|number| LoadFlow::new(number, 0, 0))
         .collect();
     for round in 0..60 {
-        // A peer with more capacity aggregates.
+        // A peer with more capacity is selected as the aggregator, so that this host sends reports.
         if round % 10 == 0 {
-            hear_peer_with(&mut rig, 9, 900);
+            receive_heartbeat(&mut rig, 9, 900);
         }
         for is_request in [true, false] {
             for flow in &mut flows {
                 let number = u32::from(flow.number) % 900;
                 let mut head = match is_request {
                     true => flow.request(),
-                    false => flow.response(USUAL_BYTES),
+                    false => flow.response(RESPONSE_BYTES),
                 };
-                head.tag = many_tag(number);
+                head.tag = numbered_tag(number);
                 head.service = addresses[number as usize % 60].0;
                 rig.packet(&head);
             }
@@ -291,8 +292,8 @@
     )
 }
 
-/// Whether a report says what cannot be, by the words of the specification.
-fn is_absurd(report: &LoadReport) -> bool {
+/// Returns whether a report contains impossible counts according to the specification.
+fn is_implausible(report: &LoadReport) -> bool {
     let sums = report.services.iter().map(|service| service.requests);
     let time: f64 = sums
         .clone()
@@ -308,26 +309,26 @@
 }
 
 proptest! {
-    /// Whatever other hosts send, nothing panics, absurd reports are rejected, and what this host then sends is valid and fits a
-    /// datagram.
+    /// Arbitrary input causes no panic, impossible reports are rejected, and all datagrams that the
+    /// host then sends are valid and not too long.
     #[test]
-    fn test_any_reports_and_digests_are_survived(
+    fn test_arbitrary_reports_and_digests_are_handled(
         reports in prop::collection::vec((0..4_u8, report()), 0..8),
         digests in prop::collection::vec((0..6_u8, digest()), 0..8),
     ) {
         let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
-        hear_peers(&mut rig, 4);
+        receive_heartbeats(&mut rig, 4);
         rig.pass(300);
         for (from, report) in &reports {
             let before = rig.core.load().rejections();
-            rig.core.heard_load(rig.now, peer(*from), report);
+            rig.core.handle_load_report(rig.now, peer(*from), report);
             let rejected = rig.core.load().rejections() > before;
-            prop_assert!(rejected || !is_absurd(report));
+            prop_assert!(rejected || !is_implausible(report));
         }
         for (from, digest) in &digests {
-            rig.core.heard_digest(rig.now, peer(*from), digest);
+            rig.core.handle_digest(rig.now, peer(*from), digest);
         }
-        for sent in sent_within(&mut rig, 600) {
+        for sent in datagrams_sent_within(&mut rig, 600) {
             let bytes = sent.datagram.encode().expect("encoded");
             prop_assert!(bytes.len() <= 1400);
             prop_assert_eq!(PeerDatagram::decode(&bytes), Ok(sent.datagram));
@@ -335,14 +336,14 @@
         rig.pass(6000);
     }
 
-    /// Whatever bytes come, they are read or rejected.
+    /// Arbitrary bytes are either decoded or rejected.
     #[test]
-    fn test_any_bytes_are_read_or_rejected(variant in 3..6_u8, bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn test_arbitrary_bytes_are_decoded_or_rejected(variant in 3..6_u8, bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let datagram: Vec<u8> = [7, variant].into_iter().chain(bytes).collect();
         let mut rig = CoreRig::with_ledger(&[1]);
         match PeerDatagram::decode(&datagram) {
-            Ok(PeerDatagram::Load(report)) => rig.core.heard_load(rig.now, peer(0), &report),
-            Ok(PeerDatagram::Digest(digest)) => rig.core.heard_digest(rig.now, peer(0), &digest),
+            Ok(PeerDatagram::Load(report)) => rig.core.handle_load_report(rig.now, peer(0), &report),
+            Ok(PeerDatagram::Digest(digest)) => rig.core.handle_digest(rig.now, peer(0), &digest),
             Ok(_) | Err(_) => {}
         }
         rig.pass(300);
--- a/packet/tests/test_lost_upstreams.rs
+++ b/packet/tests/test_lost_upstreams.rs
@@ -116,7 +116,7 @@
         rig.request(*flow, *upstream, 0);
     }
     rig.now += Duration::from_secs(3);
-    rig.core.woke_up(rig.now);
+    rig.core.handle_stall(rig.now);
     for _copy in 0..2 {
         for (flow, upstream) in &flows {
             let again = rig.request(*flow, *upstream, 0);
@@ -160,7 +160,7 @@
     rig.pass(500);
     for flow in &flows {
         for seq in [100, 0] {
-            let head = carry_head(*flow, 1, seq, 1, 100);
+            let head = established_head(*flow, 1, seq, 1, 100);
             assert_eq!(forwarded(&rig.packet(&head)), [1]);
         }
         rig.pass(60);
@@ -291,7 +291,7 @@
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1]);
-        rig.store_away = case.store_lost;
+        rig.store_unreachable = case.store_lost;
         if case.store_lost {
             rig.core
                 .store_failed(rig.now, &StoreFault::Refused { status: 503 });
--- a/packet/tests/test_moved_callers.rs
+++ b/packet/tests/test_moved_callers.rs
@@ -25,7 +25,7 @@
 
 /// A request of the caller's open flow, sent the first time or again.
 fn request_head() -> PacketHead {
-    carry_head(7, REMOTE_UPSTREAM, 100, 500, 100)
+    established_head(7, REMOTE_UPSTREAM, 100, 500, 100)
 }
 
 #[test]
@@ -33,7 +33,7 @@
     // Guards against an open flow that is placed anew when its caller changes zones.
     let mut rig = new_zone();
     for turn in 0..20 {
-        let head = carry_head(7, REMOTE_UPSTREAM, turn * 100, 1 + turn * 500, 100);
+        let head = established_head(7, REMOTE_UPSTREAM, turn * 100, 1 + turn * 500, 100);
         assert_eq!(
             forwarded(&rig.packet(&head)),
             [REMOTE_UPSTREAM],
--- a/packet/tests/test_names.rs
+++ b/packet/tests/test_names.rs
@@ -1,4 +1,4 @@
-//! Tests that decisions go by what is observed, not by what things are called.
+//! Tests that decisions depend on observations and not on names.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,21 +13,21 @@
 
 use crate::core_rig::*;
 
-/// What things are called.
+/// The names of a deployment.
 struct Naming {
     name: &'static str,
     zones: [&'static str; 2],
     service: &'static str,
     upstream_prefix: &'static str,
-    /// What is added to an upstream's number in its name.
-    shift: u8,
-    /// Whether its upstreams have the tags of the first naming.
+    /// Offset between the number in an upstream's name and its number in the test.
+    number_offset: u8,
+    /// Whether its upstreams have the same tags as those of the first naming.
     same_tags: bool,
 }
 
-/// How many of the opening packets left their zone, were deferred, and went to two upstreams.
-fn totals(outcomes: &[OpeningOutcome]) -> [usize; 3] {
-    let count = |wanted: fn(&OpeningOutcome) -> bool| {
+/// Returns how many SYNs left the zone, were deferred, and were sent to two upstreams.
+fn totals(outcomes: &[SynResult]) -> [usize; 3] {
+    let count = |wanted: fn(&SynResult) -> bool| {
         let found = outcomes.iter().filter(|outcome| wanted(outcome));
         found.count()
     };
@@ -38,16 +38,18 @@
     ]
 }
 
-/// What became of one opening packet, whoever got it.
+/// The outcome of one SYN, independent of names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct OpeningOutcome {
+struct SynResult {
+    /// Whether it went to an upstream of the own zone; `None` if it was deferred.
     local: Option<bool>,
+    /// Number of upstreams that got the SYN.
     copies_sent: usize,
 }
 
-/// Plays a rush and the calm after it: opening packets every 4 ms, every third of them a late copy, to six
-/// upstreams of which two are in another zone, each request answered after 150 ms.
-fn play(naming: &Naming, config: PolicyConfig) -> Vec<OpeningOutcome> {
+/// Runs an overload: one SYN every 4 ms, of which every third is a retransmission, to six
+/// upstreams of which two are in another zone. Each request is answered after 150 ms.
+fn run_overload(naming: &Naming, config: PolicyConfig) -> Vec<SynResult> {
     let start = Instant::now();
     let settings = HostSettings {
         zone: naming.zones[0].into(),
@@ -56,7 +58,12 @@
     };
     let entries: Vec<UpstreamEntry> = (1..=6)
         .map(|number| UpstreamEntry {
-            name: format!("{}{:02x}", naming.upstream_prefix, number + naming.shift).into(),
+            name: format!(
+                "{}{:02x}",
+                naming.upstream_prefix,
+                number + naming.number_offset
+            )
+            .into(),
             zone: naming.zones[usize::from(number > 4)].into(),
             ..entry(number, naming.service)
         })
@@ -74,7 +81,7 @@
             core.tick(now, &mut PacketOutput::default());
         }
         open.retain(|(end, flow, at)| {
-            let mut last = carry_head(*flow, 0, 100, 501, 0);
+            let mut last = established_head(*flow, 0, 100, 501, 0);
             (last.tag, last.last) = (tags[*at], true);
             if *end <= now {
                 core.packet(now, &last, &mut PacketOutput::default());
@@ -84,7 +91,7 @@
         let mut output = PacketOutput::default();
         core.packet(now, &open_head(step, u32::from(step % 3 == 0)), &mut output);
         let sent = forwarded(&output.actions);
-        outcomes.push(OpeningOutcome {
+        outcomes.push(SynResult {
             local: sent.first().map(|number| *number <= 4),
             copies_sent: sent.len(),
         });
@@ -92,7 +99,7 @@
             continue;
         };
         let at = *number as usize - 1;
-        let mut request = carry_head(step, 0, 0, 1, 100);
+        let mut request = established_head(step, 0, 0, 1, 100);
         request.tag = tags[at];
         core.packet(now, &request, &mut PacketOutput::default());
         open.push((now + Duration::from_millis(150), step, at));
@@ -102,50 +109,58 @@
 
 #[test]
 fn test_names_decide_nothing() {
-    // Guards against policies that depend on the names of a deployment.
+    // Guards against policies that depend on the names of a deployment. Since tags decide ties,
+    // namings with other tags may differ in a fiftieth of the SYNs.
     let namings = [
         Naming {
-            name: "as in other tests",
+            name: "names of the other tests",
             zones: ["a", "b"],
             service: "ledger",
             upstream_prefix: "i-",
-            shift: 0,
+            number_offset: 0,
             same_tags: true,
         },
         Naming {
-            name: "zones in the other order",
+            name: "zones that sort the other way",
             zones: ["zone-9", "zone-1"],
             service: "s",
             upstream_prefix: "i-",
-            shift: 0,
+            number_offset: 0,
             same_tags: true,
         },
         Naming {
-            name: "other upstreams",
+            name: "other upstream names and tags",
             zones: ["a", "b"],
             service: "a-service-with-a-long-name",
             upstream_prefix: "upstream-ffee",
-            shift: 77,
+            number_offset: 77,
             same_tags: false,
         },
     ];
-    let mut calm = PolicyConfig::default();
-    calm.exchange.is_enabled = false;
-    let expected = play(&namings[0], calm);
-    let wanted = totals(&expected);
-    assert!(wanted.iter().all(|count| *count > 10), "{wanted:?}");
-    for config in [calm, PolicyConfig::default()] {
-        let expected = play(&namings[0], config);
-        let wanted = totals(&expected);
+    let mut without_exchange = PolicyConfig::default();
+    without_exchange.exchange.is_enabled = false;
+    let expected = run_overload(&namings[0], without_exchange);
+    let expected_totals = totals(&expected);
+    assert!(
+        expected_totals.iter().all(|count| *count > 10),
+        "{expected_totals:?}"
+    );
+    for config in [without_exchange, PolicyConfig::default()] {
+        let expected = run_overload(&namings[0], config);
+        let expected_totals = totals(&expected);
         for naming in &namings[1..] {
-            let outcomes = play(naming, config);
-            let found = totals(&outcomes);
+            let outcomes = run_overload(naming, config);
+            let actual = totals(&outcomes);
             if naming.same_tags {
                 assert_eq!(outcomes, expected, "{}", naming.name);
             }
-            for (count, other) in found.iter().zip(&wanted) {
-                let few = expected.len() / 50;
-                assert!(count.abs_diff(*other) <= few, "{}: {found:?}", naming.name);
+            for (count, other) in actual.iter().zip(&expected_totals) {
+                let tolerance = expected.len() / 50;
+                assert!(
+                    count.abs_diff(*other) <= tolerance,
+                    "{}: {actual:?}",
+                    naming.name
+                );
             }
         }
     }
--- a/packet/tests/test_packet_core.rs
+++ b/packet/tests/test_packet_core.rs
@@ -1,4 +1,4 @@
-//! Tests of the door: what becomes of a packet.
+//! Tests of the action on each kind of packet, and of flows across changes of the published state.
 
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::packet_action::PacketAction;
@@ -8,7 +8,7 @@
 use crate::core_rig::*;
 
 #[test]
-fn test_open_kinds_of_packets() {
+fn test_packet_kinds() {
     struct Case {
         name: &'static str,
         kind: PacketKind,
@@ -18,56 +18,56 @@
     }
     let cases = [
         Case {
-            name: "opening packet",
+            name: "SYN",
             kind: PacketKind::Open,
             known_route: true,
             known_tag: false,
             expected: "forward",
         },
         Case {
-            name: "opening packet without a route",
+            name: "SYN without a route",
             kind: PacketKind::Open,
             known_route: false,
             known_tag: false,
             expected: "reset 200",
         },
         Case {
-            name: "data of an open flow",
-            kind: PacketKind::Carry,
+            name: "data of an established flow",
+            kind: PacketKind::Established,
             known_route: true,
             known_tag: true,
             expected: "forward",
         },
         Case {
             name: "data without a route",
-            kind: PacketKind::Carry,
+            kind: PacketKind::Established,
             known_route: false,
             known_tag: true,
             expected: "reset 200",
         },
         Case {
-            name: "data of an upstream nobody knows",
-            kind: PacketKind::Carry,
+            name: "data with an unknown tag",
+            kind: PacketKind::Established,
             known_route: true,
             known_tag: false,
             expected: "drop 208",
         },
         Case {
-            name: "a caller's own reset",
+            name: "reset by the caller",
             kind: PacketKind::Abort,
             known_route: true,
             known_tag: true,
             expected: "forward",
         },
         Case {
-            name: "a caller's own reset without a route",
+            name: "reset by the caller without a route",
             kind: PacketKind::Abort,
             known_route: false,
             known_tag: true,
             expected: "drop 200",
         },
         Case {
-            name: "nothing a caller sends",
+            name: "packet that callers do not send",
             kind: PacketKind::Foreign,
             known_route: true,
             known_tag: true,
@@ -76,7 +76,7 @@
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1]);
-        let mut head = carry_head(1, 1, 0, 1, 10);
+        let mut head = established_head(1, 1, 0, 1, 10);
         head.kind = case.kind;
         if !case.known_route {
             head.service.set_port(1);
@@ -100,12 +100,16 @@
     let PacketAction::Forward { tag: written, .. } = actions[0] else {
         panic!("not forwarded");
     };
-    assert_eq!(written, Some(tag(1)), "the upstream's own tag is written");
+    assert_eq!(
+        written,
+        Some(tag(1)),
+        "the selected upstream's tag is written"
+    );
 }
 
 #[test]
 fn test_any_host_carries_a_flow() {
-    // Guards against flows that end with the host that placed them.
+    // Guards against flows that only the host that placed them can forward.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
     for upstream in [1, 2, 3] {
         let actions = rig.request(u16::from(upstream), upstream, 7);
@@ -115,35 +119,39 @@
 
 #[test]
 fn test_draining_upstream_keeps_flows_and_gets_none() {
-    // Guards against a drain that ends flows, or new flows that the drain will cut.
+    // Guards against a drain that resets open flows, and against new flows that the drain will end.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
-    let kept: Vec<u16> = (0..20).filter(|flow| rig.establish(*flow) == 1).collect();
-    assert!(!kept.is_empty());
+    let open_flows: Vec<u16> = (0..20).filter(|flow| rig.establish(*flow) == 1).collect();
+    assert!(!open_flows.is_empty());
     let mut leaving = entry(1, "ledger");
     leaving.state = EntryState::Draining;
     rig.publish(|revision| upstream_item(revision, leaving));
     for flow in 100..140 {
         assert!(
             !rig.open(flow, 0).contains(&1),
-            "a new flow on a draining upstream"
+            "new flow on a draining upstream"
         );
     }
-    for flow in kept {
-        assert_eq!(forwarded(&rig.request(flow, 1, 0)), [1], "its flow goes on");
+    for flow in open_flows {
+        assert_eq!(
+            forwarded(&rig.request(flow, 1, 0)),
+            [1],
+            "open flows continue"
+        );
     }
 }
 
 #[test]
 fn test_address_is_reused_by_another_service() {
-    // Guards against packets of an old flow at the new owner of an address.
+    // Guards against packets of an old flow that reach the new owner of its upstream's address.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     rig.establish(1);
     rig.request(1, 1, 0);
     rig.acknowledge(1, 1, 0);
     rig.publish(|revision| removed_item(revision, 1));
-    let mut heir = entry(3, "certs");
-    heir.address = upstream_address(1);
-    rig.publish(|revision| upstream_item(revision, heir));
+    let mut new_owner = entry(3, "certs");
+    new_owner.address = upstream_address(1);
+    rig.publish(|revision| upstream_item(revision, new_owner));
     let actions = rig.request(1, 1, 1);
     for action in actions {
         if let PacketAction::Forward {
@@ -157,15 +165,15 @@
         assert_eq!(
             rig.open(flow, 0)[0],
             2,
-            "new flows of the ledger never reach its heir"
+            "new flows go to the remaining upstream"
         );
     }
 }
 
 #[test]
 fn test_route_that_was_dropped_is_refused_at_once() {
-    // Guards against callers of a dropped route that wait, and an older configuration that restores
-    // it.
+    // Guards against callers of a deleted route that wait for their timeout, and against an older
+    // configuration that restores the route.
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.establish(1);
     let fewer = routes(5, &[(certs(), "certs")]);
@@ -174,20 +182,20 @@
         reset_code(&rig.request(1, 1, 0)),
         Some(ResultCode::ServiceUnknown)
     );
-    rig.publish(|revision| routes_item(revision, usual_routes(4)));
+    rig.publish(|revision| routes_item(revision, default_routes(4)));
     let actions = rig.packet(&open_head(2, 0));
     assert_eq!(
         reset_code(&actions),
         Some(ResultCode::ServiceUnknown),
-        "older routes are not back"
+        "an older version does not restore the route"
     );
-    rig.publish(|revision| routes_item(revision, usual_routes(9)));
-    assert_eq!(rig.open(3, 0), [1], "a newer version may bring it back");
+    rig.publish(|revision| routes_item(revision, default_routes(9)));
+    assert_eq!(rig.open(3, 0), [1], "a newer version may restore the route");
 }
 
 #[test]
 fn test_flow_stays_when_its_route_leads_elsewhere() {
-    // A route is pointed at another service. Flows that are open stay on their upstream.
+    // Guards against open flows that move when their route is changed to another service.
     let mut rig = CoreRig::with_entries(vec![entry(1, "ledger"), entry(2, "certs")]);
     rig.establish(1);
     let moved = routes(2, &[(ledger(), "certs")]);
@@ -205,7 +213,7 @@
 
 #[test]
 fn test_tag_is_remembered_for_a_flows_life() {
-    // Guards against a tag that is given away while flows may carry it.
+    // Guards against a tag that is reused while packets of old flows may contain it.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     rig.publish(|revision| removed_item(revision, 1));
     assert!(rig.core.upstreams().by_tag(tag(1)).is_some());
@@ -213,7 +221,10 @@
     assert!(rig.core.upstreams().by_tag(tag(1)).is_none());
     rig.publish(|revision| upstream_item(revision, entry(5, "ledger")));
     let actions = rig.request(1, 1, 0);
-    assert!(forwarded(&actions).is_empty(), "the old tag leads nowhere");
+    assert!(
+        forwarded(&actions).is_empty(),
+        "no upstream has the old tag"
+    );
 }
 
 #[test]
--- a/packet/tests/test_peer_table.rs
+++ b/packet/tests/test_peer_table.rs
@@ -1,4 +1,4 @@
-//! Tests of knowing the other hosts.
+//! Tests of the peer table: discovery, liveness, reports and the choice of state sources.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -6,15 +6,15 @@
 use std::time::Instant;
 
 use lagoonproxy_packet::peers::peer_datagram::DatagramFault;
-use lagoonproxy_packet::peers::peer_datagram::MOST_DATAGRAM;
+use lagoonproxy_packet::peers::peer_datagram::MAX_DATAGRAM_BYTES;
 use lagoonproxy_packet::peers::peer_datagram::PeerDatagram;
-use lagoonproxy_packet::peers::peer_heartbeat::MOST_NAMED;
-use lagoonproxy_packet::peers::peer_heartbeat::MOST_OTHERS;
-use lagoonproxy_packet::peers::peer_heartbeat::MOST_REPORTS;
+use lagoonproxy_packet::peers::peer_heartbeat::MAX_NAMED_LOCAL;
+use lagoonproxy_packet::peers::peer_heartbeat::MAX_NAMED_REMOTE;
+use lagoonproxy_packet::peers::peer_heartbeat::MAX_UPSTREAM_REPORTS;
 use lagoonproxy_packet::peers::peer_heartbeat::PeerHeartbeat;
 use lagoonproxy_packet::peers::peer_heartbeat::UpstreamReport;
 use lagoonproxy_packet::peers::peer_table::PeerTable;
-use lagoonproxy_packet::state::state_source::ReadState;
+use lagoonproxy_packet::state::state_source::SyncState;
 use proptest::prelude::*;
 
 use lagoonproxy_packet::state::state_snapshot::StateQuery;
@@ -41,7 +41,7 @@
     }
 }
 
-/// What a host asks with that holds the usual configuration.
+/// The query of a host that holds the default configuration.
 pub fn query(through: u64) -> StateQuery {
     StateQuery {
         after: at(through),
@@ -56,7 +56,7 @@
 
 #[test]
 fn test_hosts_find_each_other_through_seeds() {
-    // Guards against hosts that never learn of each other from few seeds.
+    // Guards against hosts that never discover each other from a few seeds.
     let mut now = Instant::now();
     let mut hosts: Vec<PeerTable> = (1..=40)
         .map(|number| {
@@ -67,7 +67,7 @@
             )
         })
         .collect();
-    let mut most = 0;
+    let mut max_targets = 0;
     for _round in 0..20 {
         now += Duration::from_millis(500);
         for sender in 0..hosts.len() {
@@ -76,16 +76,16 @@
                 .round(now, false, false)
                 .expect("a round is due");
             let targets: Vec<SocketAddrV4> = round.targets().collect();
-            most = most.max(targets.len());
-            let mut word = heartbeat(ZONE, 1);
-            word.named = hosts[sender].some_of(now, &ZONE.into());
+            max_targets = max_targets.max(targets.len());
+            let mut message = heartbeat(ZONE, 1);
+            message.named = hosts[sender].sample_peers_in(now, &ZONE.into());
             for target in targets {
                 let index = usize::from(target.ip().octets()[3]) - 1;
                 if index < hosts.len() {
-                    let heard = hosts[index].heard(now, from, word.clone());
-                    if heard.is_new {
+                    let outcome = hosts[index].heard(now, from, message.clone());
+                    if outcome.is_new {
                         let mut reply = heartbeat(ZONE, 1);
-                        reply.named = hosts[index].some_of(now, &ZONE.into());
+                        reply.named = hosts[index].sample_peers_in(now, &ZONE.into());
                         hosts[sender].heard(now, target, reply);
                     }
                 }
@@ -95,11 +95,11 @@
     for host in &hosts {
         assert_eq!(host.local_hosts(now), 40);
     }
-    assert!(most <= 13, "{most} heartbeats in a round");
+    assert!(max_targets <= 13, "{max_targets} heartbeats in a round");
 }
 
 #[test]
-fn test_silent_peers_are_gone() {
+fn test_silent_peers_count_as_down() {
     let mut now = Instant::now();
     let mut table = table(&[]);
     table.heard(now, address(2), heartbeat(ZONE, 1));
@@ -110,101 +110,101 @@
 }
 
 #[test]
-fn test_whom_to_ask_for_state() {
+fn test_choice_of_state_source() {
     struct Case {
         name: &'static str,
         peers: &'static [(u8, &'static str, u64)],
         own: u64,
-        state: ReadState,
+        state: SyncState,
         wait_ms: u64,
         expected: Option<u8>,
     }
     let cases = [
         Case {
-            name: "a fresh host asks at once",
+            name: "a new host requests a state at once",
             peers: &[(2, ZONE, 5)],
             own: 0,
-            state: ReadState::Empty,
+            state: SyncState::Empty,
             wait_ms: 0,
             expected: Some(2),
         },
         Case {
-            name: "a fresh host that is reading the list waits for its end",
+            name: "a new host that lists the store waits for the end of the list",
             peers: &[(2, ZONE, 5)],
             own: 0,
-            state: ReadState::Listing,
+            state: SyncState::Listing,
             wait_ms: 900,
             expected: None,
         },
         Case {
-            name: "but not for good",
+            name: "a new host whose list takes too long",
             peers: &[(2, ZONE, 5)],
             own: 0,
-            state: ReadState::Listing,
+            state: SyncState::Listing,
             wait_ms: 1100,
             expected: Some(2),
         },
         Case {
-            name: "who follows a reader waits for its word",
+            name: "a follower waits for changes from the reader",
             peers: &[(2, ZONE, 6)],
             own: 5,
-            state: ReadState::Following,
+            state: SyncState::Following,
             wait_ms: 200,
             expected: None,
         },
         Case {
-            name: "and asks when it does not come",
+            name: "a follower whose changes do not arrive",
             peers: &[(2, ZONE, 6)],
             own: 5,
-            state: ReadState::Following,
+            state: SyncState::Following,
             wait_ms: 400,
             expected: Some(2),
         },
         Case {
-            name: "nobody knows more",
+            name: "no peer is ahead",
             peers: &[(2, ZONE, 5)],
             own: 5,
-            state: ReadState::Reading,
+            state: SyncState::Reading,
             wait_ms: 2000,
             expected: None,
         },
         Case {
-            name: "one who reads for itself waits a little",
+            name: "a reader waits for its own watch",
             peers: &[(2, ZONE, 6)],
             own: 5,
-            state: ReadState::Reading,
+            state: SyncState::Reading,
             wait_ms: 300,
             expected: None,
         },
         Case {
-            name: "and then asks",
+            name: "a reader that stays behind",
             peers: &[(2, ZONE, 6)],
             own: 5,
-            state: ReadState::Reading,
+            state: SyncState::Reading,
             wait_ms: 800,
             expected: Some(2),
         },
         Case {
-            name: "the own zone first",
+            name: "the own zone is preferred among equals",
             peers: &[(2, "b", 6), (3, ZONE, 6), (4, "b", 6)],
             own: 5,
-            state: ReadState::Reading,
+            state: SyncState::Reading,
             wait_ms: 800,
             expected: Some(3),
         },
         Case {
-            name: "a whole state from the own zone",
+            name: "a whole state is requested from the own zone",
             peers: &[(2, "b", 9), (3, ZONE, 6)],
             own: 0,
-            state: ReadState::Empty,
+            state: SyncState::Empty,
             wait_ms: 0,
             expected: Some(3),
         },
         Case {
-            name: "who knows most first",
+            name: "the most advanced peer is preferred",
             peers: &[(2, "b", 9), (3, ZONE, 6)],
             own: 5,
-            state: ReadState::Reading,
+            state: SyncState::Reading,
             wait_ms: 800,
             expected: Some(2),
         },
@@ -217,67 +217,67 @@
         }
         let first = table.source(start, &query(case.own), case.state);
         let now = start + Duration::from_millis(case.wait_ms);
-        let asked = if case.wait_ms == 0 {
+        let chosen = if case.wait_ms == 0 {
             first
         } else {
             table.source(now, &query(case.own), case.state)
         };
-        assert_eq!(asked, case.expected.map(address), "{}", case.name);
+        assert_eq!(chosen, case.expected.map(address), "{}", case.name);
         assert_eq!(
             table.source(now, &query(case.own), case.state),
             None,
-            "{}: not twice at once",
+            "{}: no second request at once",
             case.name
         );
     }
 }
 
 #[test]
-fn test_hosts_that_miss_the_same_ask_different_peers() {
-    // Guards against one peer that serves a state to a whole zone.
+fn test_state_requests_are_spread_over_peers() {
+    // Guards against one peer that sends its state to a whole zone.
     let now = Instant::now();
-    let mut asked: Vec<SocketAddrV4> = Vec::new();
+    let mut chosen: Vec<SocketAddrV4> = Vec::new();
     for own in 100..170 {
         let mut table = PeerTable::new(address(own), ZONE.into(), Vec::new());
         for number in 1..=20 {
             table.heard(now, address(number), heartbeat(ZONE, 9));
         }
-        asked.extend(table.source(now, &query(0), ReadState::Empty));
+        chosen.extend(table.source(now, &query(0), SyncState::Empty));
     }
     let busiest = (1..=20)
         .map(|number| {
-            asked
+            chosen
                 .iter()
                 .filter(|host| **host == address(number))
                 .count()
         })
         .max();
-    assert_eq!(asked.len(), 70);
-    assert!(busiest <= Some(10), "{busiest:?} of 70 at one");
+    assert_eq!(chosen.len(), 70);
+    assert!(busiest <= Some(10), "{busiest:?} of 70 at one peer");
 }
 
-/// A heartbeat that says of the first upstream that it has 30 flows and answers.
-fn loaded_word() -> PeerHeartbeat {
-    let mut word = heartbeat(ZONE, 10);
-    word.reports = Some(vec![UpstreamReport {
+/// A heartbeat which reports that the first upstream is alive and has 30 flows.
+fn heartbeat_with_report() -> PeerHeartbeat {
+    let mut message = heartbeat(ZONE, 10);
+    message.reports = Some(vec![UpstreamReport {
         tag: tag(1),
         flows: 30,
         heard_ago: Some(Duration::ZERO),
         answers: Default::default(),
     }]);
-    word
+    message
 }
 
 #[test]
-fn test_sign_of_life_leaves_the_last_reports() {
-    // Guards against short heartbeats that drop reports, or make old ones look new.
+fn test_short_heartbeat_keeps_last_reports() {
+    // Guards against short heartbeats that remove the last reports, or make them appear recent.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
-    let word = loaded_word();
-    rig.core.heard(rig.now, address(2), word.clone(), false);
+    let message = heartbeat_with_report();
+    rig.core.heard(rig.now, address(2), message.clone(), false);
     let heard_at = rig.now;
     rig.pass(500);
     rig.core
-        .heard(rig.now, address(2), word.short_heartbeat(), false);
+        .heard(rig.now, address(2), message.short_heartbeat(), false);
     rig.pass(100);
     let upstreams = rig.core.upstreams();
     let index = upstreams.by_tag(tag(1)).expect("known");
@@ -287,16 +287,18 @@
 }
 
 #[test]
-fn test_reports_count_once_and_end_with_their_host() {
-    // Guards against a new host that sends every flow to an upstream that others have filled.
+fn test_reports_count_once_until_their_host_is_down() {
+    // Guards against a new host that places every flow on an upstream that already has many flows
+    // through other hosts.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
-    for _beat in 0..3 {
-        rig.core.heard(rig.now, address(2), loaded_word(), false);
+    for _heartbeat in 0..3 {
+        rig.core
+            .heard(rig.now, address(2), heartbeat_with_report(), false);
     }
     rig.pass(100);
     assert!(
         (0..20).all(|flow| rig.establish(flow) == 2),
-        "the other has 30"
+        "the other upstream has 30 flows"
     );
     rig.pass(10_000);
     rig.core
@@ -308,14 +310,14 @@
         .records()
         .map(|record| record.flows_elsewhere)
         .sum();
-    assert_eq!(elsewhere, 0, "the reporting host is gone");
+    assert_eq!(elsewhere, 0, "the reporting host is down");
 }
 
 #[test]
-fn test_datagrams_are_read_as_they_were_written() {
-    let mut word = heartbeat("b", 77);
-    word.named = vec![address(7)];
-    word.reports = Some(vec![UpstreamReport {
+fn test_datagram_round_trip() {
+    let mut message = heartbeat("b", 77);
+    message.named = vec![address(7)];
+    message.reports = Some(vec![UpstreamReport {
         tag: 5,
         flows: 3,
         heard_ago: None,
@@ -326,7 +328,10 @@
         9,
         vec![upstream_item(8, entry(1, "ledger")), removed_item(9, 2)],
     );
-    for datagram in [PeerDatagram::Heartbeat(word), PeerDatagram::Change(change)] {
+    for datagram in [
+        PeerDatagram::Heartbeat(message),
+        PeerDatagram::Change(change),
+    ] {
         let bytes = datagram.encode().expect("encodes");
         assert_eq!(PeerDatagram::decode(&bytes), Ok(datagram));
     }
@@ -338,26 +343,26 @@
 }
 
 #[test]
-fn test_largest_beat_fits_into_a_datagram() {
-    // A heartbeat that is cut up on the way is lost when any part is.
-    let mut word = heartbeat("a-zone-with-a-long-name", u64::MAX);
-    word.reader = Some(address(7));
-    word.named = vec![address(7); MOST_NAMED];
-    word.others = vec![address(7); MOST_OTHERS];
+fn test_largest_heartbeat_fits_into_a_datagram() {
+    // A fragmented heartbeat would be lost with any of its fragments.
+    let mut message = heartbeat("a-zone-with-a-long-name", u64::MAX);
+    message.reader = Some(address(7));
+    message.named = vec![address(7); MAX_NAMED_LOCAL];
+    message.others = vec![address(7); MAX_NAMED_REMOTE];
     let report = UpstreamReport {
         tag: u32::MAX,
         flows: 300,
         heard_ago: Some(Duration::from_secs(9)),
         answers: Default::default(),
     };
-    word.reports = Some(vec![report; MOST_REPORTS]);
-    let bytes = PeerDatagram::Heartbeat(word).encode().expect("encodes");
-    assert!(bytes.len() <= MOST_DATAGRAM, "{} bytes", bytes.len());
+    message.reports = Some(vec![report; MAX_UPSTREAM_REPORTS]);
+    let bytes = PeerDatagram::Heartbeat(message).encode().expect("encodes");
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
 }
 
 proptest! {
     #[test]
-    fn test_any_bytes_are_no_fault(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn test_arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _datagram = PeerDatagram::decode(&bytes);
     }
 }
--- a/packet/tests/test_read_role.rs
+++ b/packet/tests/test_read_role.rs
@@ -1,4 +1,4 @@
-//! Tests of who reads the store: cores of one zone that hear each other, in virtual time.
+//! Tests of which host reads the store: cores of one zone exchange heartbeats in virtual time.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -17,10 +17,10 @@
 struct ZoneHost {
     address: SocketAddrV4,
     core: PacketCore,
-    /// It runs and its packets arrive.
+    /// The host runs, and its packets arrive.
     alive: bool,
-    /// The store answers it.
-    in_touch: bool,
+    /// The store answers this host.
+    store_reachable: bool,
     reads: bool,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl ZoneRig {
-    /// Hosts with these thousandths of a core, that all start now.
+    /// Hosts with these capacities, in thousandths of a core, that all start now.
     fn start(capacities: &[u32]) -> Self {
         let now = Instant::now();
         let hosts = capacities.iter().enumerate().map(|(index, capacity)| {
@@ -42,7 +42,7 @@
             settings.seed_peers = vec![SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 1), 7720)];
             let mut core = PacketCore::new(&settings, PolicyConfig::default());
             let items = vec![
-                routes_item(1, usual_routes(1)),
+                routes_item(1, default_routes(1)),
                 upstream_item(1, entry(1, "ledger")),
             ];
             core.merge(now, &whole(1, items), &mut PacketOutput::default());
@@ -50,7 +50,7 @@
                 address,
                 core,
                 alive: true,
-                in_touch: true,
+                store_reachable: true,
                 reads: false,
             }
         });
@@ -77,7 +77,7 @@
         }
         host.core.tick(now, &mut PacketOutput::default());
         host.reads = host.core.reads();
-        if host.reads && host.in_touch {
+        if host.reads && host.store_reachable {
             host.core.store_answered(now);
         } else if host.reads {
             host.core
@@ -88,13 +88,16 @@
         self.deliver(from, &heartbeats);
     }
 
-    /// Hands heartbeats over, and the heartbeats that these call for.
+    /// Delivers heartbeats, and the replies to them.
     fn deliver(&mut self, from: SocketAddrV4, heartbeats: &[AddressedHeartbeat]) {
         let now = self.now;
-        let sent = heartbeats
-            .iter()
-            .flat_map(|sent| sent.targets.iter().map(|target| (&sent.heartbeat, *target)));
-        for (heartbeat, target) in sent {
+        let addressed = heartbeats.iter().flat_map(|addressed| {
+            addressed
+                .targets
+                .iter()
+                .map(|target| (&addressed.heartbeat, *target))
+        });
+        for (heartbeat, target) in addressed {
             let to = self.hosts.iter().position(|host| host.address == target);
             let Some(to) = to.filter(|to| self.hosts[*to].alive) else {
                 continue;
@@ -106,7 +109,7 @@
         }
     }
 
-    /// The living hosts that read.
+    /// The live hosts that read the store.
     fn readers(&self) -> Vec<usize> {
         let hosts = self.hosts.iter().enumerate();
         let reading = hosts.filter(|(_index, host)| host.alive && host.reads);
@@ -127,7 +130,7 @@
 
 #[test]
 fn test_reader_is_replaced_in_time() {
-    // Guards against a zone without a watcher for longer than a change may take.
+    // Guards against a zone that has no reader for longer than a change may take to be in force.
     struct Case {
         name: &'static str,
         fail: fn(&mut ZoneHost),
@@ -140,22 +143,22 @@
             within_ms: 2000,
         },
         Case {
-            name: "turned away by the store",
-            fail: |host| host.in_touch = false,
+            name: "not answered by the store",
+            fail: |host| host.store_reachable = false,
             within_ms: 1200,
         },
     ];
     for case in cases {
         let mut rig = ZoneRig::start(&[250, 250, 250, 250, 250, 250, 250, 250]);
         rig.pass(5000);
-        let first = rig.readers();
-        assert_eq!(first.len(), 1, "{}", case.name);
-        (case.fail)(&mut rig.hosts[first[0]]);
+        let first_readers = rig.readers();
+        assert_eq!(first_readers.len(), 1, "{}", case.name);
+        (case.fail)(&mut rig.hosts[first_readers[0]]);
         rig.pass(case.within_ms);
         let others = rig
             .readers()
             .into_iter()
-            .filter(|reader| *reader != first[0]);
+            .filter(|reader| *reader != first_readers[0]);
         assert!(
             (1..=2).contains(&others.count()),
             "{}: {:?}",
@@ -166,8 +169,8 @@
         let others = rig
             .readers()
             .into_iter()
-            .filter(|reader| *reader != first[0]);
-        assert_eq!(others.count(), 1, "{}: one is enough", case.name);
+            .filter(|reader| *reader != first_readers[0]);
+        assert_eq!(others.count(), 1, "{}: only one reader remains", case.name);
     }
 }
 
@@ -180,16 +183,16 @@
     assert_eq!(rig.readers().len(), 1);
     rig.hosts[1].alive = true;
     rig.pass(5000);
-    assert_eq!(rig.readers(), [1], "the larger one");
+    assert_eq!(rig.readers(), [1], "the largest host reads again");
 }
 
 #[test]
-fn test_store_that_answers_nobody_meets_few_readers() {
-    // Guards against every host of a fleet that calls a store that is down.
+fn test_unavailable_store_is_called_by_few_readers() {
+    // Guards against a store outage in which every host of the zone calls the store.
     let mut rig = ZoneRig::start(&[38; 60]);
     rig.pass(5000);
     for host in &mut rig.hosts {
-        host.in_touch = false;
+        host.store_reachable = false;
     }
     rig.pass(10_000);
     assert!(rig.readers().len() <= 16, "{} readers", rig.readers().len());
--- a/packet/tests/test_restored_fleet.rs
+++ b/packet/tests/test_restored_fleet.rs
@@ -88,7 +88,7 @@
         rig.pass(2000);
         rig.restore_store(&copy);
         rig.pass(STABLE_MILLIS);
-        rig.publish(|revision| routes_item(revision, usual_routes(2)));
+        rig.publish(|revision| routes_item(revision, default_routes(2)));
         rig.publish(|revision| upstream_item(revision, draining_entry()));
         rig.pass(IN_FORCE_MILLIS);
         let versions: Vec<u64> = rig
@@ -202,7 +202,7 @@
     // Guards against hosts at one position with different configurations.
     let mut rig = settled_fleet(3, 3, 4);
     let copy = rig.copy_store();
-    rig.publish(|revision| routes_item(revision, usual_routes(9)));
+    rig.publish(|revision| routes_item(revision, default_routes(9)));
     rig.pass(1000);
     let fresh = 8;
     rig.kill(fresh);
@@ -305,7 +305,7 @@
             rig.pass_with_changes(2000, 250);
             (case.disturb)(&mut rig, &copy);
             rig.pass(STABLE_MILLIS);
-            rig.publish(|revision| routes_item(revision, usual_routes(2)));
+            rig.publish(|revision| routes_item(revision, default_routes(2)));
             rig.publish(|revision| upstream_item(revision, draining_entry()));
             rig.pass(IN_FORCE_MILLIS);
             let position = rig.position();
--- a/packet/tests/test_restored_store.rs
+++ b/packet/tests/test_restored_store.rs
@@ -23,7 +23,7 @@
 /// What a copy contains at revision 10: the usual routes, and upstreams 1 and 2 after one write.
 fn copied_items() -> Vec<PublishedItem> {
     vec![
-        routes_item(1, usual_routes(1)),
+        routes_item(1, default_routes(1)),
         upstream_item(1, entry(1, "ledger")),
         upstream_item(1, entry(2, "ledger")),
     ]
@@ -228,7 +228,7 @@
         .events
         .contains(&DecisionEvent::RoutesRegressed { version: 1 });
     assert!(regressed, "no event says so");
-    rig.publish(|revision| routes_item(revision, usual_routes(10)));
+    rig.publish(|revision| routes_item(revision, default_routes(10)));
     assert_eq!(version(&rig), Some(10));
 }
 
@@ -366,7 +366,7 @@
         steps in prop::collection::vec(history_step(), 1..80),
     ) {
         let mut store = StateSnapshot::default();
-        store.merge(&whole(10, vec![routes_item(1, usual_routes(1))]));
+        store.merge(&whole(10, vec![routes_item(1, default_routes(1))]));
         let mut copies = vec![(10, store.clone())];
         let (mut era, mut revision) = (0, 10);
         let mut hosts = vec![StateSnapshot::default(); 4];
--- a/packet/tests/test_route_table.rs
+++ b/packet/tests/test_route_table.rs
@@ -23,11 +23,11 @@
 
 use crate::core_rig::CoreRig;
 use crate::core_rig::ZONE;
+use crate::core_rig::default_routes;
 use crate::core_rig::entry;
 use crate::core_rig::routes;
 use crate::core_rig::routes_item;
 use crate::core_rig::settings;
-use crate::core_rig::usual_routes;
 
 /// A route: its priority, and its services with their weights.
 type RouteCase = (Option<u32>, &'static [(&'static str, u32)]);
@@ -54,7 +54,11 @@
 }
 
 fn upstream_table() -> UpstreamTable {
-    UpstreamTable::new(ZONE.into(), settings().flow_age, PolicyConfig::default())
+    UpstreamTable::new(
+        ZONE.into(),
+        settings().max_flow_age,
+        PolicyConfig::default(),
+    )
 }
 
 /// The rank and the number of classes of a route at a service; `None` if it does not lead there.
@@ -184,15 +188,15 @@
     // Guards against a fault that nobody hears of, and against one that fills the log at each list.
     let faulty = |version| RouteConfig {
         field_faults: vec![field_fault()],
-        ..usual_routes(version)
+        ..default_routes(version)
     };
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.publish(|revision| routes_item(revision, faulty(2)));
     rig.publish(|revision| routes_item(revision, faulty(2)));
     rig.publish(|revision| routes_item(revision, faulty(3)));
-    rig.publish(|revision| routes_item(revision, usual_routes(4)));
+    rig.publish(|revision| routes_item(revision, default_routes(4)));
     let told = rig.events.iter().filter_map(|event| match event {
-        DecisionEvent::RouteField { version, fault } => Some((*version, fault.clone())),
+        DecisionEvent::RouteFieldIgnored { version, fault } => Some((*version, fault.clone())),
         _ => None,
     });
     let told: Vec<(u64, FieldFault)> = told.collect();
--- a/packet/tests/test_state_snapshot.rs
+++ b/packet/tests/test_state_snapshot.rs
@@ -1,4 +1,4 @@
-//! Tests of joining published state: never back, from whichever source.
+//! Tests of merging published state, which never regresses whatever the source.
 
 use lagoonproxy_packet::peers::peer_datagram::decode_state;
 use lagoonproxy_packet::peers::peer_datagram::encode_state;
@@ -13,15 +13,15 @@
 
 use crate::core_rig::*;
 
-/// What a view holds, for comparison.
-fn content(view: &StateSnapshot) -> (Vec<PublishedItem>, StorePosition) {
-    let update = view.update_since(&StateQuery::default());
+/// The items and position of a snapshot, for comparison.
+fn content(snapshot: &StateSnapshot) -> (Vec<PublishedItem>, StorePosition) {
+    let update = snapshot.update_since(&StateQuery::default());
     (update.items, update.through)
 }
 
 fn first_state() -> StateUpdate {
     let items = vec![
-        routes_item(3, usual_routes(7)),
+        routes_item(3, default_routes(7)),
         upstream_item(4, entry(1, "ledger")),
         upstream_item(5, entry(2, "ledger")),
     ];
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn test_evacuations_are_joined() {
-    // Guards against an evacuation that is lost, or comes back from an older copy.
+fn test_evacuations_are_merged() {
+    // Guards against an evacuation that is lost, or that an older state restores.
     struct Case {
         name: &'static str,
         updates: Vec<StateUpdate>,
         evacuated: &'static [&'static str],
     }
-    let other_list = |evacuations: Vec<PublishedItem>| {
+    let list_with = |evacuations: Vec<PublishedItem>| {
         let mut items = first_state().items;
         items.extend(evacuations);
         items
@@ -85,14 +85,14 @@
         },
         Case {
             name: "a whole list without it",
-            updates: vec![whole(12, other_list(vec![]))],
+            updates: vec![whole(12, list_with(vec![]))],
             evacuated: &[],
         },
         Case {
-            name: "a whole list that names it only",
+            name: "a whole list with its key but without its content",
             updates: vec![whole(
                 12,
-                other_list(vec![PublishedItem {
+                list_with(vec![PublishedItem {
                     content: ItemContent::Unchanged,
                     ..evacuation_item(6, "a")
                 }]),
@@ -100,8 +100,8 @@
             evacuated: &["a"],
         },
         Case {
-            name: "an older list without it",
-            updates: vec![whole(9, other_list(vec![]))],
+            name: "an older whole list without it",
+            updates: vec![whole(9, list_with(vec![]))],
             evacuated: &["a"],
         },
         Case {
@@ -126,15 +126,15 @@
         },
     ];
     for case in cases {
-        let mut view = StateSnapshot::default();
-        view.merge(&whole(10, other_list(vec![evacuation_item(6, "a")])));
+        let mut snapshot = StateSnapshot::default();
+        snapshot.merge(&whole(10, list_with(vec![evacuation_item(6, "a")])));
         for update in &case.updates {
-            view.merge(update);
+            snapshot.merge(update);
         }
         let mut peer = StateSnapshot::default();
-        peer.merge(&view.update_since(&StateQuery::default()));
-        for (holder, view) in [("itself", &view), ("a peer", &peer)] {
-            let zones: Vec<_> = content(view)
+        peer.merge(&snapshot.update_since(&StateQuery::default()));
+        for (holder, snapshot) in [("the receiver", &snapshot), ("a peer", &peer)] {
+            let zones: Vec<_> = content(snapshot)
                 .0
                 .into_iter()
                 .filter_map(|item| match item.key {
@@ -148,8 +148,9 @@
 }
 
 #[test]
-fn test_state_is_short_on_the_wire() {
-    // Guards against hosts that start together and fill the links between zones with states.
+fn test_encoded_state_is_compact() {
+    // Guards against links between zones that are saturated by state transfers when many hosts
+    // start together.
     let items = (0..=255).map(|number| upstream_item(4, entry(number, "ledger")));
     let update = whole(10, items.collect());
     let bytes = encode_state(&update).expect("bytes");
@@ -179,7 +180,7 @@
             upstreams: &[2, 3],
         },
         Case {
-            name: "changes seen already, and newer ones",
+            name: "changes that were already merged, and newer ones",
             update: changes(
                 4,
                 11,
@@ -190,25 +191,25 @@
             upstreams: &[1],
         },
         Case {
-            name: "changes after a gap are no continuation",
+            name: "changes after a gap",
             update: changes(20, 21, vec![removed_item(21, 1)]),
             through: 10,
             version: 7,
             upstreams: &[1, 2],
         },
         Case {
-            name: "an older copy of everything",
-            update: whole(6, vec![routes_item(2, usual_routes(6))]),
+            name: "an older whole state",
+            update: whole(6, vec![routes_item(2, default_routes(6))]),
             through: 10,
             version: 7,
             upstreams: &[1, 2],
         },
         Case {
-            name: "a newer list without one of them",
+            name: "a newer list without one of the upstreams",
             update: whole(
                 15,
                 vec![
-                    routes_item(3, usual_routes(7)),
+                    routes_item(3, default_routes(7)),
                     upstream_item(4, entry(1, "ledger")),
                 ],
             ),
@@ -218,7 +219,7 @@
         },
         Case {
             name: "older routes under a newer revision",
-            update: changes(10, 11, vec![routes_item(11, usual_routes(2))]),
+            update: changes(10, 11, vec![routes_item(11, default_routes(2))]),
             through: 11,
             version: 7,
             upstreams: &[1, 2],
@@ -239,7 +240,7 @@
             upstreams: &[1, 2],
         },
         Case {
-            name: "an entry that cannot be read any more",
+            name: "an entry that has become undecodable",
             update: changes(
                 10,
                 11,
@@ -255,13 +256,13 @@
         },
     ];
     for case in cases {
-        let mut view = StateSnapshot::default();
-        view.merge(&first_state());
-        view.merge(&case.update);
-        assert_eq!(view.through(), at(case.through), "{}", case.name);
-        let version = view.routes().map(|routes| routes.version);
+        let mut snapshot = StateSnapshot::default();
+        snapshot.merge(&first_state());
+        snapshot.merge(&case.update);
+        assert_eq!(snapshot.through(), at(case.through), "{}", case.name);
+        let version = snapshot.routes().map(|routes| routes.version);
         assert_eq!(version, Some(case.version), "{}", case.name);
-        let names: Vec<_> = content(&view)
+        let names: Vec<_> = content(&snapshot)
             .0
             .into_iter()
             .filter_map(|item| match item.content {
@@ -273,7 +274,7 @@
     }
 }
 
-/// A history of the store: each change gets the next revision.
+/// A history of the store, in which each change gets the next revision.
 fn history() -> impl Strategy<Value = Vec<PublishedItem>> {
     let change = (0..6_u8, any::<bool>());
     prop::collection::vec(change, 1..40).prop_map(|changes| {
@@ -283,7 +284,7 @@
             .map(|(index, (number, put))| {
                 let revision = index as u64 + 1;
                 match (number, put) {
-                    (0, _) => routes_item(revision, usual_routes(revision)),
+                    (0, _) => routes_item(revision, default_routes(revision)),
                     (number, true) => upstream_item(revision, entry(number, "ledger")),
                     (number, false) => removed_item(revision, number),
                 }
@@ -293,10 +294,10 @@
 }
 
 proptest! {
-    /// A peer that gets differences, in any steps and also from a host that is behind, ends with
-    /// the state of who read everything.
+    /// A peer that merges deltas, in any steps and also from a host that is behind, ends with the
+    /// same state as the reader.
     #[test]
-    fn test_differences_lead_to_the_same_state(
+    fn test_deltas_lead_to_the_same_state(
         items in history(),
         cuts in prop::collection::vec(0..40_usize, 0..6),
     ) {
@@ -321,74 +322,75 @@
         prop_assert_eq!(content(&late), content(&reader));
     }
 
-    /// A reader whose history was dropped reads the whole list again, and misses what came and went
-    /// in between. Peers that stand before, within and after that gap get the difference, or
-    /// everything, and end with the same state.
+    /// A reader whose position the store has dropped reads the whole list again, and misses items
+    /// that were added and removed in between. Peers at positions before, inside and after that gap
+    /// get a delta or the whole state, and end with the same state.
     #[test]
-    fn test_differences_after_a_list_was_read_again(
+    fn test_deltas_after_relisting(
         items in history(),
         missed in prop::collection::vec(any::<bool>(), 40),
         cuts in prop::collection::vec(0..40_usize, 0..8),
     ) {
-        let mut truth = StateSnapshot::default();
+        let mut current = StateSnapshot::default();
         let mut reader = StateSnapshot::default();
         let mut peer = StateSnapshot::default();
-        let mut far = StateSnapshot::default();
-        for view in [&mut truth, &mut reader, &mut peer, &mut far] {
-            view.merge(&whole(1, Vec::new()));
+        let mut distant = StateSnapshot::default();
+        for snapshot in [&mut current, &mut reader, &mut peer, &mut distant] {
+            snapshot.merge(&whole(1, Vec::new()));
         }
         for (index, item) in items.iter().enumerate() {
-            let after = truth.through().revision;
+            let after = current.through().revision;
             let item = PublishedItem { position: at(after + 1), ..item.clone() };
-            truth.merge(&changes(after, after + 1, vec![item.clone()]));
+            current.merge(&changes(after, after + 1, vec![item.clone()]));
             let misses = missed[index];
             if !misses && !reader.merge(&changes(after, after + 1, vec![item])).is_stale {
                 continue;
             }
             if !misses {
-                reader.merge(&truth.update_since(&StateQuery::default()));
+                reader.merge(&current.update_since(&StateQuery::default()));
             }
             if cuts.contains(&index) {
                 peer.merge(&reader.update_since(&peer.query()));
-                far.merge(&truth.update_since(&far.query()));
+                distant.merge(&current.update_since(&distant.query()));
             }
         }
-        reader.merge(&truth.update_since(&StateQuery::default()));
+        reader.merge(&current.update_since(&StateQuery::default()));
         peer.merge(&reader.update_since(&peer.query()));
-        far.merge(&reader.update_since(&far.query()));
-        prop_assert_eq!(content(&reader), content(&truth));
-        prop_assert_eq!(content(&peer), content(&truth));
-        prop_assert_eq!(content(&far), content(&truth));
+        distant.merge(&reader.update_since(&distant.query()));
+        prop_assert_eq!(content(&reader), content(&current));
+        prop_assert_eq!(content(&peer), content(&current));
+        prop_assert_eq!(content(&distant), content(&current));
     }
 }
 
 #[test]
-fn test_list_read_again_is_handed_on_as_a_difference() {
-    // Guards against whole states for a zone whose watcher has listed the store again.
+fn test_relisted_state_is_sent_as_a_delta() {
+    // Guards against sending whole states to a zone whose reader has listed the store again.
     let mut reader = StateSnapshot::default();
     reader.merge(&first_state());
     let mut peer = StateSnapshot::default();
     peer.merge(&reader.update_since(&StateQuery::default()));
     let items = vec![
-        routes_item(3, usual_routes(7)),
+        routes_item(3, default_routes(7)),
         upstream_item(5, entry(2, "ledger")),
         upstream_item(14, entry(3, "ledger")),
     ];
     reader.merge(&whole(20, items));
     let update = reader.update_since(&peer.query());
     assert!(!update.whole);
-    assert_eq!(update.items.len(), 2, "one that is new, one that is gone");
+    assert_eq!(update.items.len(), 2, "one new item, one removed item");
     peer.merge(&update);
     assert_eq!(content(&peer), content(&reader));
 }
 
 #[test]
-fn test_delta_is_rejected_by_a_state_that_it_was_not_made_for() {
-    // Guards against an upstream that stays registered because it came and went while the sender read the list again.
+fn test_delta_for_another_position_is_rejected() {
+    // Guards against an upstream that stays registered because it was added and removed while the
+    // sender listed the store again.
     let mut reader = StateSnapshot::default();
     let mut peer = StateSnapshot::default();
-    for view in [&mut reader, &mut peer] {
-        view.merge(&first_state());
+    for snapshot in [&mut reader, &mut peer] {
+        snapshot.merge(&first_state());
     }
     let query = peer.query();
     peer.merge(&changes(
@@ -399,7 +401,7 @@
     reader.merge(&whole(12, first_state().items));
     let delta = reader.update_since(&query);
     assert!(!delta.whole);
-    assert!(peer.merge(&delta).is_stale, "it is at 11, not at 10");
+    assert!(peer.merge(&delta).is_stale, "the peer is at 11, not at 10");
     peer.merge(&reader.update_since(&peer.query()));
     assert_eq!(content(&peer), content(&reader));
 }
--- a/packet/tests/test_store_feed.rs
+++ b/packet/tests/test_store_feed.rs
@@ -1,10 +1,10 @@
-//! Tests of reading the store through its failures.
+//! Tests of reading the store despite failures.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use lagoonproxy_packet::ids::Revision;
-use lagoonproxy_packet::state::store_feed::FIRST_WAIT;
+use lagoonproxy_packet::state::store_feed::FIRST_WATCH_WAIT;
 use lagoonproxy_packet::state::store_feed::FeedStep;
 use lagoonproxy_packet::state::store_feed::ListPage;
 use lagoonproxy_packet::state::store_feed::StoreFault;
@@ -35,7 +35,7 @@
 fn first_page() -> FeedStep {
     FeedStep::List {
         after: None,
-        look_after: None,
+        progress_check_after: None,
     }
 }
 
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn test_pages_are_no_snapshot() {
-    // Guards against changes between two pages of a listing that are missed.
+fn test_watch_continues_from_first_page() {
+    // Guards against missing changes that are made between two pages of a listing.
     let mut feed = StoreFeed::default();
     let now = Instant::now();
     assert_eq!(
@@ -57,13 +57,13 @@
     );
     let next = FeedStep::List {
         after: Some("servers/i-01".into()),
-        look_after: None,
+        progress_check_after: None,
     };
     assert_eq!(feed.next_step(now), next);
     let update = feed
         .listed(list_page(14, &[2], None))
         .expect("pages of one era")
-        .expect("the list is whole");
+        .expect("the list is complete");
     assert_eq!(
         (update.items.len(), update.through, update.whole),
         (2, at(10), true)
@@ -125,15 +125,15 @@
         let expected = if case.lists_again {
             first_page()
         } else {
-            watch(10, FIRST_WAIT)
+            watch(10, FIRST_WATCH_WAIT)
         };
         assert_eq!(feed.next_step(later), expected, "{}", case.name);
     }
 }
 
 #[test]
-fn test_store_that_drops_history_again_and_again_is_not_pressed() {
-    // Guards against listings without a pause from a store that drops its history.
+fn test_repeatedly_dropped_history_causes_backoff() {
+    // Guards against listing without a pause when the store drops its history repeatedly.
     let mut feed = listed_feed();
     let now = Instant::now();
     feed.failed(now, &StoreFault::HistoryDropped);
@@ -143,7 +143,7 @@
 
 #[test]
 fn test_outage_costs_few_calls() {
-    // The store is away for a minute. Calls that are refused have their price too.
+    // The store does not answer for a minute. Failed calls have a cost too.
     let mut feed = listed_feed();
     let start = Instant::now();
     let mut now = start;
@@ -164,8 +164,9 @@
 }
 
 #[test]
-fn test_fault_in_the_middle_of_a_list_begins_it_anew() {
-    // A page fails after others have come. Going on with a later list's pages would mix two states.
+fn test_failed_page_restarts_the_list() {
+    // A page fails after others have arrived. Continuing with the pages of a later list would mix
+    // two states.
     let mut feed = StoreFeed::default();
     feed.listed(list_page(10, &[1], Some("servers/i-01")))
         .expect("a page");
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn test_changes_come_together() {
+fn test_changes_are_batched() {
     let mut feed = listed_feed();
     let now = Instant::now();
     let batch = WatchBatch {
@@ -195,82 +196,82 @@
         matches!(feed.next_step(now), FeedStep::Wait { .. }),
         "a pause after changes"
     );
-    let quiet = WatchBatch {
+    let no_changes = WatchBatch {
         items: Vec::new(),
         changed: false,
         position: at(12),
     };
     let mut feed = listed_feed();
-    feed.changed(now, quiet).expect("it continues");
+    feed.changed(now, no_changes).expect("it continues");
     assert_eq!(
         feed.next_step(now),
         watch(12, WATCH_WAIT),
-        "none after a quiet wait"
+        "no pause without changes"
     );
 }
 
 #[test]
-fn test_state_from_a_peer_moves_the_watch_on() {
+fn test_peer_state_advances_the_watch() {
     let mut feed = listed_feed();
-    feed.skip_to(at(30));
+    feed.advance_to(at(30));
     assert_eq!(feed.next_step(Instant::now()), watch(30, WATCH_WAIT));
-    feed.skip_to(at(20));
+    feed.advance_to(at(20));
     assert_eq!(
         feed.next_step(Instant::now()),
         watch(30, WATCH_WAIT),
-        "never back"
+        "it never moves back"
     );
 }
 
 #[test]
-fn test_where_reading_goes_on() {
-    // Guards against a listing where a watch would do.
+fn test_where_reading_continues() {
+    // Guards against a listing where a watch is enough.
     struct Case {
         name: &'static str,
-        dropped: bool,
-        state: Revision,
+        history_dropped: bool,
+        peer_state: Revision,
         expected: FeedStep,
     }
     let cases = [
         Case {
             name: "a state from a peer needs no list",
-            dropped: false,
-            state: 30,
-            expected: watch(30, FIRST_WAIT),
+            history_dropped: false,
+            peer_state: 30,
+            expected: watch(30, FIRST_WATCH_WAIT),
         },
         Case {
-            name: "the history of that state is gone",
-            dropped: true,
-            state: 10,
+            name: "the store has dropped the history after that state",
+            history_dropped: true,
+            peer_state: 10,
             expected: first_page(),
         },
         Case {
             name: "a peer has read the list meanwhile",
-            dropped: true,
-            state: 40,
-            expected: watch(40, FIRST_WAIT),
+            history_dropped: true,
+            peer_state: 40,
+            expected: watch(40, FIRST_WATCH_WAIT),
         },
     ];
     for case in cases {
         let now = Instant::now();
         let mut feed = StoreFeed::default();
-        if case.dropped {
-            feed.skip_to(at(10));
+        if case.history_dropped {
+            feed.advance_to(at(10));
             feed.failed(now, &StoreFault::HistoryDropped);
         }
-        feed.skip_to(at(case.state));
+        feed.advance_to(at(case.peer_state));
         assert_eq!(feed.next_step(now), case.expected, "{}", case.name);
     }
 }
 
 #[test]
-fn test_peers_state_ends_a_list_in_progress() {
-    // Guards against a listing that begins with pages of an abandoned one.
+fn test_peer_state_discards_partial_list() {
+    // Guards against a listing that begins with the pages of an abandoned one.
     let now = Instant::now();
     let mut feed = StoreFeed::default();
     feed.listed(list_page(10, &[1], Some("servers/i-01")))
         .expect("a page");
-    feed.skip_to(at(30));
+    feed.advance_to(at(30));
     feed.failed(now, &StoreFault::HistoryDropped);
     assert_eq!(feed.next_step(now), first_page());
     let update = feed
@@ -281,12 +282,12 @@
 }
 
 #[test]
-fn test_host_that_begins_to_read_learns_at_once_whether_it_is_served() {
-    // Guards against a first watch that waits, while others take over as well.
+fn test_first_watch_of_a_new_reader_returns_at_once() {
+    // Guards against a first watch that waits at the store, so that other hosts take over as well.
     let now = Instant::now();
     let mut feed = listed_feed();
     feed.pause();
-    assert_eq!(feed.next_step(now), watch(10, FIRST_WAIT));
+    assert_eq!(feed.next_step(now), watch(10, FIRST_WATCH_WAIT));
     feed.changed(
         now,
         WatchBatch {
@@ -315,11 +316,12 @@
 }
 
 #[test]
-fn test_watch_answered_from_another_history_is_not_continued() {
-    // Guards against a watch that goes on from a revision that a restored store has given out again.
+fn test_watch_response_of_another_era_is_rejected() {
+    // Guards against a watch that continues from a revision that a restored store has assigned
+    // again.
     struct Case {
         name: &'static str,
-        watched: StorePosition,
+        watch_after: StorePosition,
         answered: StorePosition,
         expected: Result<(), StoreFault>,
         lists: bool,
@@ -328,49 +330,49 @@
     let cases = [
         Case {
             name: "the same era",
-            watched: in_era(2, 10),
+            watch_after: in_era(2, 10),
             answered: in_era(2, 12),
             expected: Ok(()),
             lists: false,
         },
         Case {
             name: "a later era at a smaller revision",
-            watched: in_era(2, 10),
+            watch_after: in_era(2, 10),
             answered: in_era(3, 4),
             expected: Err(StoreFault::EraChanged { era: 3 }),
             lists: true,
         },
         Case {
-            name: "a later era at a larger revision: a watch that waited through the return",
-            watched: in_era(2, 10),
+            name: "a later era at a larger revision: the store was restored during the watch",
+            watch_after: in_era(2, 10),
             answered: in_era(3, 14),
             expected: Err(StoreFault::EraChanged { era: 3 }),
             lists: true,
         },
         Case {
             name: "some eras later",
-            watched: in_era(2, 10),
+            watch_after: in_era(2, 10),
             answered: in_era(9, 10),
             expected: Err(StoreFault::EraChanged { era: 9 }),
             lists: true,
         },
         Case {
             name: "an earlier era",
-            watched: in_era(2, 10),
+            watch_after: in_era(2, 10),
             answered: in_era(1, 40),
             expected: Err(regressed(in_era(1, 40), in_era(2, 10))),
             lists: false,
         },
         Case {
-            name: "no era, after one was stated",
-            watched: in_era(2, 10),
+            name: "no era, after an earlier response had one",
+            watch_after: in_era(2, 10),
             answered: in_era(0, 11),
             expected: Err(regressed(in_era(0, 11), in_era(2, 10))),
             lists: false,
         },
         Case {
-            name: "a smaller revision in the same era: the read lags behind",
-            watched: in_era(2, 10),
+            name: "a smaller revision in the same era: a stale read",
+            watch_after: in_era(2, 10),
             answered: in_era(2, 9),
             expected: Ok(()),
             lists: false,
@@ -379,7 +381,7 @@
     for case in cases {
         let now = Instant::now();
         let mut feed = StoreFeed::default();
-        feed.skip_to(case.watched);
+        feed.advance_to(case.watch_after);
         let answer = feed.changed(now, batch_at(case.answered));
         if let Err(fault) = &answer {
             feed.failed(now, fault);
@@ -389,14 +391,14 @@
         let lists = feed.next_step(now) == first_page();
         assert_eq!(lists, case.lists, "{}", case.name);
         if let FeedStep::Watch { after, .. } = feed.next_step(later) {
-            assert!(after >= case.watched, "{}", case.name);
+            assert!(after >= case.watch_after, "{}", case.name);
         }
     }
 }
 
 #[test]
-fn test_list_that_mixes_eras_is_begun_anew() {
-    // Guards against a list whose pages are from before and after a return of the store.
+fn test_list_that_mixes_eras_is_restarted() {
+    // Guards against a list whose pages are from before and after the store was restored.
     let now = Instant::now();
     let mut feed = StoreFeed::default();
     let first = feed.listed(page_at(in_era(1, 50), Some("servers/i-01")));
@@ -411,8 +413,8 @@
 }
 
 #[test]
-fn test_store_that_goes_back_without_an_era_is_not_pressed() {
-    // Guards against listings and refused watches in turn, without a pause.
+fn test_store_that_regresses_without_an_era_causes_backoff() {
+    // Guards against alternating listings and failed watches without a pause.
     let start = Instant::now();
     let mut now = start;
     let mut feed = listed_feed();
@@ -437,8 +439,9 @@
 }
 
 #[test]
-fn test_store_that_refuses_each_watch_from_its_own_list_is_not_pressed() {
-    // Guards against listings and refused watches in turn, without a pause, from a store that keeps no history.
+fn test_store_that_refuses_every_watch_causes_backoff() {
+    // Guards against alternating listings and failed watches without a pause, when a store keeps no
+    // history.
     let start = Instant::now();
     let mut now = start;
     let mut feed = listed_feed();
--- a/packet/tests/test_opening_admission.rs
+++ b/packet/tests/test_syn_deferral.rs
@@ -1,10 +1,10 @@
-//! Tests of which opening packets wait while a service is busy.
+//! Tests of which SYNs are deferred while no slot is free.
 
 use std::time::Duration;
 
 use lagoonproxy::result_code::ResultCode;
-use lagoonproxy_packet::admission::opening_admission::OpeningQuery;
-use lagoonproxy_packet::admission::opening_admission::is_deferred;
+use lagoonproxy_packet::admission::syn_deferral::SynDeferralQuery;
+use lagoonproxy_packet::admission::syn_deferral::is_deferred;
 use lagoonproxy_packet::packet_action::DecisionEvent;
 use lagoonproxy_packet::packet_action::PacketAction;
 use lagoonproxy_packet::policy_config::AdmissionConfig;
@@ -13,7 +13,7 @@
 use crate::core_rig::*;
 
 #[test]
-fn test_only_late_copies_yield_and_only_to_work() {
+fn test_only_late_retransmissions_without_a_free_slot_are_deferred() {
     struct Case {
         name: &'static str,
         copy: u32,
@@ -23,7 +23,7 @@
         deferred: bool,
     }
     let late = Case {
-        name: "late, and no slot is free",
+        name: "late retransmission, and no slot is free",
         copy: 1,
         target_ms: Some(150),
         placed_before: false,
@@ -32,7 +32,7 @@
     };
     let cases = [
         Case {
-            name: "a first packet, whatever is in progress",
+            name: "a first SYN, regardless of the requests in progress",
             copy: 0,
             requests: 50,
             deferred: false,
@@ -51,24 +51,24 @@
             ..late
         },
         Case {
-            name: "late with the last copy",
+            name: "late only with the last retransmission",
             copy: 2,
             target_ms: Some(500),
             ..late
         },
         Case {
-            name: "a copy that callers do not send today",
+            name: "a retransmission that callers do not send",
             copy: 9,
             ..late
         },
         Case {
-            name: "nobody says when it is late",
+            name: "a route without a latency objective",
             target_ms: None,
             deferred: false,
             ..late
         },
         Case {
-            name: "an upstream left the first packet without an answer",
+            name: "an upstream did not answer the first SYN",
             placed_before: true,
             deferred: false,
             ..late
@@ -76,7 +76,7 @@
         late,
     ];
     for case in cases {
-        let query = OpeningQuery {
+        let query = SynDeferralQuery {
             copy: case.copy,
             target: case.target_ms.map(Duration::from_millis),
             placed_before: case.placed_before,
@@ -88,7 +88,7 @@
     }
 }
 
-/// A host with one upstream whose two slots are taken.
+/// A host with one upstream whose two slots are in use.
 fn busy_rig() -> CoreRig {
     let mut rig = CoreRig::with_ledger(&[1]);
     for flow in 0..2 {
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn test_requests_of_the_moment_go_before_late_ones() {
+fn test_new_requests_go_before_late_ones() {
     // Guards against late retransmissions that fill the queues of upstreams after an outage.
     let mut rig = busy_rig();
     let late = rig.packet(&open_head(10, 1));
     let code = ResultCode::QueueFull;
     assert_eq!(late, [PacketAction::Drop { code }]);
-    let noted = rig.events.iter().any(|event| {
+    let is_recorded = rig.events.iter().any(|event| {
         matches!(
             event,
             DecisionEvent::Deferred {
@@ -115,19 +115,19 @@
             }
         )
     });
-    assert!(noted, "the decision is not in the logs");
+    assert!(is_recorded, "the deferral is not in the events");
     assert_eq!(forwarded(&rig.packet(&open_head(11, 0))), [1]);
     for flow in 0..2 {
         rig.acknowledge(flow, 1, 0);
     }
-    rig.packet(&carry_head(11, 1, 0, 1, 0));
+    rig.packet(&established_head(11, 1, 0, 1, 0));
     rig.pass(400);
     assert_eq!(forwarded(&rig.packet(&open_head(10, 2))), [1]);
 }
 
 #[test]
-fn test_copy_after_a_lost_packet_goes_elsewhere_at_once() {
-    // Guards against a deferred retransmission of a SYN that this host had placed.
+fn test_retransmission_of_a_placed_syn_is_forwarded_at_once() {
+    // Guards against deferral of a retransmission whose earlier SYN this host has placed.
     let mut rig = busy_rig();
     rig.open(10, 0);
     rig.pass(200);
@@ -135,11 +135,11 @@
 }
 
 #[test]
-fn test_route_without_a_target_never_yields() {
+fn test_syns_without_a_latency_objective_are_never_deferred() {
     // Guards against deferral on a route without a latency objective.
     let mut rig = busy_rig();
     rig.publish(|revision| {
-        let mut config: RouteConfig = usual_routes(2);
+        let mut config: RouteConfig = default_routes(2);
         for route in &mut config.routes {
             route.target = None;
         }
--- a/packet/tests/test_upstream_selection.rs
+++ b/packet/tests/test_upstream_selection.rs
@@ -1,4 +1,4 @@
-//! Tests of where new flows go, each with its load.
+//! Tests of upstream selection for new flows.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 #[test]
 fn test_long_flows_are_spread_evenly() {
-    // Guards against imbalance of placement by hash alone.
+    // Guards against the imbalance of placement by hash alone.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4, 5]);
     let mut counts: BTreeMap<u8, u32> = BTreeMap::new();
     for flow in 0..100 {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn test_own_zone_first() {
+fn test_own_zone_is_preferred() {
     struct Case {
         name: &'static str,
         local: &'static [u8],
@@ -35,13 +35,13 @@
     }
     let cases = [
         Case {
-            name: "local ones take all",
+            name: "local upstreams take all flows",
             local: &[1, 2],
             remote: &[3],
             expected: &[1, 2],
         },
         Case {
-            name: "no local one",
+            name: "no local upstream",
             local: &[],
             remote: &[3, 4],
             expected: &[3, 4],
@@ -59,45 +59,45 @@
 }
 
 #[test]
-fn test_full_zone_sends_flows_elsewhere() {
-    // Guards against flows that stay in a saturated zone, or leave one that is not.
+fn test_saturated_zone_sends_flows_to_other_zones() {
+    // Guards against flows that stay in a saturated zone, or leave one that is not saturated.
     struct Case {
         name: &'static str,
         waiting: u16,
         answered: bool,
-        left: bool,
+        is_elsewhere: bool,
     }
     let cases = [
         Case {
             name: "many flows, no requests",
             waiting: 0,
             answered: false,
-            left: false,
+            is_elsewhere: false,
         },
         Case {
-            name: "a queue that is soon done",
+            name: "a short queue",
             waiting: 5,
             answered: false,
-            left: false,
+            is_elsewhere: false,
         },
         Case {
-            name: "three requests a slot",
+            name: "three requests per slot",
             waiting: 6,
             answered: false,
-            left: true,
+            is_elsewhere: true,
         },
         Case {
-            name: "the same a moment later",
+            name: "the same after the responses",
             waiting: 6,
             answered: true,
-            left: false,
+            is_elsewhere: false,
         },
     ];
     for case in cases {
         let entries = vec![entry(1, "ledger"), remote_entry(2), remote_entry(3)];
         let mut rig = CoreRig::with_entries(entries);
         let flows: Vec<u8> = (0..40).map(|flow| rig.establish(flow)).collect();
-        assert_eq!(flows, [1; 40], "{}: idle flows stay", case.name);
+        assert_eq!(flows, [1; 40], "{}: idle flows stay in the zone", case.name);
         for flow in 0..case.waiting {
             rig.request(flow, 1, 0);
         }
@@ -106,20 +106,20 @@
                 rig.acknowledge(flow, 1, 0);
             }
         }
-        let left = rig.open(100, 0)[0] != 1;
-        assert_eq!(left, case.left, "{}", case.name);
+        let is_elsewhere = rig.open(100, 0)[0] != 1;
+        assert_eq!(is_elsewhere, case.is_elsewhere, "{}", case.name);
     }
 }
 
 #[test]
-fn test_dark_zone_is_no_panic() {
-    // Guards against a panic threshold that counts one zone only.
+fn test_dead_zone_is_below_the_panic_threshold() {
+    // Guards against a panic threshold that counts the upstreams of one zone only.
     let local = [1, 2, 3, 4].map(|number| entry(number, "ledger"));
     let remote = [5, 6, 7, 8, 9, 10].map(remote_entry);
     let mut rig = CoreRig::with_entries(local.into_iter().chain(remote).collect());
     let flows: Vec<(u16, u8)> = (0..40).map(|flow| (flow, rig.establish(flow))).collect();
     rig.pass(1000);
-    for _copy in 0..3 {
+    for _attempt in 0..3 {
         for (flow, upstream) in &flows {
             rig.request(*flow, *upstream, 0);
             if *upstream == 4 {
@@ -132,59 +132,59 @@
         let first = rig.open(flow, 0)[0];
         assert!(
             !(1..=3).contains(&first),
-            "a new flow at {first}, which is dark"
+            "a new flow on {first}, which is dead"
         );
     }
 }
 
 #[test]
-fn test_copies_of_an_opening_packet_go_elsewhere() {
-    // Guards against retransmitted SYNs that go to the upstream that left the first unanswered.
+fn test_retransmitted_syn_goes_to_another_upstream() {
+    // Guards against SYN retransmissions to an upstream that has not responded to an earlier SYN.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4, 5, 6]);
     let mut used = Vec::new();
-    for copy in 0..3 {
-        let next = rig.open(1, copy);
+    for attempt in 0..3 {
+        let next = rig.open(1, attempt);
         assert!(
             next.iter().all(|number| !used.contains(number)),
-            "copy {copy}"
+            "attempt {attempt}"
         );
         used.extend(next);
-        rig.pass(200 + 200 * u64::from(copy));
+        rig.pass(200 + 200 * u64::from(attempt));
     }
 }
 
 #[test]
-fn test_opening_packet_is_hedged() {
-    // Guards against a lost SYN, and a hedge that waits in a queue.
+fn test_syn_is_hedged() {
+    // Guards against a delay by a lost SYN, and against a hedge that waits in a queue.
     struct Case {
         name: &'static str,
-        proved: bool,
+        responded: bool,
         second_busy: bool,
         expected: usize,
     }
     let cases = [
         Case {
-            name: "nobody has proved to be alive",
-            proved: false,
+            name: "no upstream has responded yet",
+            responded: false,
             second_busy: false,
             expected: 2,
         },
         Case {
-            name: "both have",
-            proved: true,
+            name: "both have responded",
+            responded: true,
             second_busy: false,
             expected: 2,
         },
         Case {
-            name: "both have, and the second has no free slot",
-            proved: true,
+            name: "both have responded, and the second has no free slot",
+            responded: true,
             second_busy: true,
             expected: 1,
         },
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2]);
-        let flows: Vec<(u16, u8)> = match case.proved {
+        let flows: Vec<(u16, u8)> = match case.responded {
             true => (10..16).map(|flow| (flow, rig.establish(flow))).collect(),
             false => Vec::new(),
         };
@@ -197,13 +197,18 @@
         let mut sent_to = rig.open(1, 0);
         assert_eq!(sent_to.len(), case.expected, "{}", case.name);
         sent_to.dedup();
-        assert_eq!(sent_to.len(), case.expected, "{}: twice to one", case.name);
+        assert_eq!(
+            sent_to.len(),
+            case.expected,
+            "{}: the same upstream twice",
+            case.name
+        );
     }
 }
 
 #[test]
 fn test_saturated_upstream_is_skipped() {
-    // Guards against a slow upstream with few flows that draws new ones.
+    // Guards against a slow upstream that attracts new flows because it has few.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     let flows: Vec<(u16, u8)> = (0..60).map(|flow| (flow, rig.establish(flow))).collect();
     let on_first = flows.iter().filter(|(_flow, at)| *at == 1);
@@ -211,32 +216,33 @@
         rig.request(*flow, *upstream, 0);
     }
     for (flow, _upstream) in flows.iter().filter(|(_flow, at)| *at == 1).skip(6) {
-        let mut end = carry_head(*flow, 1, 0, 1, 0);
+        let mut end = established_head(*flow, 1, 0, 1, 0);
         end.last = true;
         rig.packet(&end);
     }
     assert!(
         (100..103).all(|flow| rig.open(flow, 0)[0] == 2),
-        "the full one gets more"
+        "the saturated upstream gets a flow"
     );
 }
 
 #[test]
-fn test_cold_upstream_gets_fewer_flows() {
-    // A new upstream has no flows and would get every new one, while it is slow after its start.
-    let mut cold = entry(2, "ledger");
-    cold.warmup_left = Duration::from_secs(2);
-    let mut rig = CoreRig::with_entries(vec![entry(1, "ledger"), cold]);
-    let on_cold = (0..26).filter(|flow| rig.establish(*flow) == 2).count();
+fn test_warming_upstream_gets_fewer_flows() {
+    // Guards against a new upstream that gets every new flow because it has none, while it is slow
+    // after its start.
+    let mut warming = entry(2, "ledger");
+    warming.warmup_left = Duration::from_secs(2);
+    let mut rig = CoreRig::with_entries(vec![entry(1, "ledger"), warming]);
+    let on_warming = (0..26).filter(|flow| rig.establish(*flow) == 2).count();
     assert!(
-        (9..=11).contains(&on_cold),
-        "10 of 26 flows at 1.6 times the time, got {on_cold}"
+        (9..=11).contains(&on_warming),
+        "expected 10 of 26 flows at 1.6 times the load per flow, got {on_warming}"
     );
 }
 
 #[test]
-fn test_lost_opening_flows_do_not_count_for_ever() {
-    // Guards against flows that never opened and count as load for good.
+fn test_unopened_flows_expire() {
+    // Guards against flows that never opened but count as load permanently.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     for flow in 0..20 {
         rig.open(flow, 0);
--- a/packet/tests/test_warmup_admission.rs
+++ b/packet/tests/test_warmup_admission.rs
@@ -1,4 +1,4 @@
-//! Tests of how fast warming upstreams get new flows.
+//! Tests of the rate at which warming upstreams receive new flows.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -17,7 +17,7 @@
 
 const WARMUP: Duration = Duration::from_secs(2);
 
-/// Any span in which the flows of a warming upstream are counted.
+/// Length of the windows in which the flows of a warming upstream are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
 fn warmup(rate: u64) -> ServiceWarmup {
@@ -31,7 +31,7 @@
 fn limited_routes(version: u64, rate: u64) -> RouteConfig {
     RouteConfig {
         warmups: vec![warmup(rate)],
-        ..usual_routes(version)
+        ..default_routes(version)
     }
 }
 
@@ -57,7 +57,7 @@
     });
     let cases = [
         Case {
-            name: "no rate stated",
+            name: "no rate configured",
             rate: 0,
             tolerance: usual,
             interval_ms: None,
@@ -87,7 +87,7 @@
             interval_ms: Some(Some(500)),
         },
         Case {
-            name: "no room for two claims",
+            name: "a bound too low for two claims",
             rate: 2000,
             tolerance: None,
             interval_ms: Some(None),
@@ -103,7 +103,7 @@
 
 #[test]
 fn test_flows_beyond_the_pace_go_to_warm_upstreams() {
-    // Guards against an upstream that falls over because all new flows come to the idle one.
+    // Guards against an upstream that fails because selection by load sends it all new flows.
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.publish(|revision| routes_item(revision, limited_routes(2, 6000)));
     rig.pass(5000);
@@ -124,8 +124,8 @@
 }
 
 #[test]
-fn test_refused_at_once_while_only_warming_upstreams_are_left() {
-    // Guards against callers that wait for their deadlines behind a limit.
+fn test_flows_are_refused_at_once_while_all_upstreams_are_warming() {
+    // Guards against callers that wait until their deadlines for a rate limit.
     let mut rig = CoreRig::with_ledger(&[]);
     rig.publish(|revision| routes_item(revision, limited_routes(2, 6000)));
     rig.pass(5000);
@@ -140,7 +140,8 @@
 
 #[test]
 fn test_restored_zone_warms_up_again() {
-    // Guards against upstreams that became cold during an evacuation and have not said so yet.
+    // Guards against flows to upstreams that became cold during an evacuation and have not reported
+    // it yet.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     rig.publish(|revision| routes_item(revision, limited_routes(2, 6000)));
     rig.publish(|revision| upstream_item(revision, entry_in(3, "b", Duration::ZERO)));
@@ -149,14 +150,17 @@
     rig.pass(5000);
     rig.publish(|revision| restored_item(revision, ZONE));
     rig.pass(100);
-    let home = (0..40).filter(|flow| rig.open(*flow, 0)[0] != 3).count();
-    assert!((1..=2).contains(&home), "{home} of 40 flows at once");
+    let local = (0..40).filter(|flow| rig.open(*flow, 0)[0] != 3).count();
+    assert!(
+        (1..=2).contains(&local),
+        "{local} of 40 flows went to the cold zone"
+    );
     rig.pass(2000);
-    let home = (50..90).filter(|flow| rig.open(*flow, 0)[0] != 3).count();
-    assert_eq!(home, 40, "once warm");
+    let local = (50..90).filter(|flow| rig.open(*flow, 0)[0] != 3).count();
+    assert_eq!(local, 40, "after the warm-up");
 }
 
-/// The largest number of flows of one upstream in any window.
+/// Returns the largest number of flows of one upstream in any window.
 fn busiest_window(arrivals: &BTreeMap<u8, Vec<Instant>>) -> usize {
     let counts = arrivals.values().flat_map(|times| {
         times.iter().map(|start| {
@@ -171,23 +175,24 @@
 
 #[test]
 fn test_no_window_of_a_warming_upstream_exceeds_its_bound() {
-    // Guards against hosts that each send a fair number to the same cold upstream.
+    // Guards against hosts that each send an acceptable number of flows to the same cold upstream.
     struct Case {
         name: &'static str,
         hosts_a_zone: u8,
-        /// Thousandths a second, and the flows that a window may hold with the usual tolerance.
+        /// Rate in thousandths per second, and the flows that a window may contain with the usual
+        /// tolerance.
         rate: u64,
         bound: usize,
-        /// Returns when the upstreams became cold.
+        /// Makes upstreams cold; returns the time at which they became cold.
         begin: fn(&mut FleetRig) -> Instant,
         is_cold: fn(u8) -> bool,
-        /// Whether they get any flow while they are cold.
-        is_used: bool,
+        /// Whether they receive any flow while they are cold.
+        receives_flows: bool,
     }
-    let cool_all = |rig: &mut FleetRig| {
+    let restart_all = |rig: &mut FleetRig| {
         publish_upstreams(rig, 1..=30, WARMUP);
         let began = rig.now;
-        // A restart under the same name is known from the registration alone.
+        // A restart under the same name is visible in the registration alone.
         rig.pass(600);
         began
     };
@@ -202,7 +207,7 @@
                 rig.now
             },
             is_cold: |number| number > 30,
-            is_used: true,
+            receives_flows: true,
         },
         Case {
             name: "a zone comes back cold",
@@ -216,16 +221,16 @@
                 rig.now
             },
             is_cold: |number| number % 3 == 1,
-            is_used: true,
+            receives_flows: true,
         },
         Case {
             name: "all upstreams restart",
             hosts_a_zone: 30,
             rate: 10_000,
             bound: 20,
-            begin: cool_all,
+            begin: restart_all,
             is_cold: |_number| true,
-            is_used: true,
+            receives_flows: true,
         },
         Case {
             name: "all upstreams and all hosts restart",
@@ -242,7 +247,7 @@
                 began
             },
             is_cold: |_number| true,
-            is_used: false,
+            receives_flows: false,
         },
         Case {
             name: "a third of the hosts restarts while upstreams do",
@@ -258,7 +263,7 @@
                 rig.now
             },
             is_cold: |number| number > 30,
-            is_used: true,
+            receives_flows: true,
         },
         Case {
             name: "a third of the hosts is partitioned from the others",
@@ -272,7 +277,7 @@
                 rig.now
             },
             is_cold: |number| number > 30,
-            is_used: true,
+            receives_flows: true,
         },
     ];
     for case in cases {
@@ -309,19 +314,23 @@
         arrivals.retain(|number, _times| (case.is_cold)(*number));
         let busiest = busiest_window(&arrivals);
         assert!(busiest <= case.bound, "{}: {busiest} flows", case.name);
-        let is_used = busiest > 0;
-        assert_eq!(is_used, case.is_used, "{}: cold ones get flows", case.name);
+        let receives_flows = busiest > 0;
+        assert_eq!(
+            receives_flows, case.receives_flows,
+            "{}: whether cold upstreams receive flows",
+            case.name
+        );
     }
 }
 
-/// Registers upstreams that are spread over three zones.
+/// Registers upstreams spread over three zones.
 fn publish_upstreams(rig: &mut FleetRig, numbers: RangeInclusive<u8>, warmup_left: Duration) {
     for number in numbers {
         rig.publish(|revision| upstream_item(revision, zone_entry(number, warmup_left)));
     }
 }
 
-/// An upstream of one of three zones, by its number.
+/// An upstream in one of three zones, by its number.
 fn zone_entry(number: u8, warmup_left: Duration) -> UpstreamEntry {
     let zone = format!("zone-{}", (number - 1) % 3 + 1);
     entry_in(number, &zone, warmup_left)
--- a/packet/tests/test_zone_evacuation.rs
+++ b/packet/tests/test_zone_evacuation.rs
@@ -121,7 +121,7 @@
             name: "the store cannot be read since",
             evacuated: &["a"],
             prepare: |rig| {
-                rig.store_away = true;
+                rig.store_unreachable = true;
                 rig.pass(20_000);
             },
             allowed: &[3, 4, 5, 6],
@@ -149,7 +149,7 @@
     let placed = rig.open(2, 0);
     rig.publish(|revision| evacuation_item(revision, ZONE));
     assert_eq!(forwarded(&rig.request(1, upstream, 0)), [upstream]);
-    let opened = carry_head(2, placed[0], 0, 1, 0);
+    let opened = established_head(2, placed[0], 0, 1, 0);
     assert_eq!(forwarded(&rig.packet(&opened)), [placed[0]]);
     for turn in 1..20 {
         rig.pass(1000);
@@ -556,7 +556,7 @@
     // Guards against a full state from a peer in which what is known is only named.
     let mut view = lagoonproxy_packet::state::state_snapshot::StateSnapshot::default();
     let items: Vec<PublishedItem> = vec![
-        routes_item(1, usual_routes(1)),
+        routes_item(1, default_routes(1)),
         evacuation_item(3, "b"),
         upstream_item(4, entry(1, "ledger")),
     ];
--- a/packet/tests/test_zone_spill.rs
+++ b/packet/tests/test_zone_spill.rs
@@ -9,22 +9,22 @@
 use lagoonproxy_packet::ids::ServiceTag;
 use lagoonproxy_packet::load::load_report::LoadDigest;
 use lagoonproxy_packet::load::load_report::service_tag;
-use lagoonproxy_packet::load::load_view::AddressedDatagram;
-use lagoonproxy_packet::load::zone_load::MOST_DIGEST_LOADS;
-use lagoonproxy_packet::load::zone_load::MOST_REQUESTS;
+use lagoonproxy_packet::load::load_tracker::AddressedDatagram;
+use lagoonproxy_packet::load::zone_load::MAX_DIGEST_LOADS;
+use lagoonproxy_packet::load::zone_load::MAX_REQUESTS;
+use lagoonproxy_packet::load::zone_load::SpilledRequests;
 use lagoonproxy_packet::load::zone_load::ZoneLoadEntry;
 use lagoonproxy_packet::load::zone_load::ZoneLoadReport;
 use lagoonproxy_packet::load::zone_load::ZoneServiceEntry;
 use lagoonproxy_packet::load::zone_load::ZoneServiceLoad;
-use lagoonproxy_packet::load::zone_load::ZoneVisit;
 use lagoonproxy_packet::packet_action::DecisionEvent;
-use lagoonproxy_packet::peers::peer_datagram::MOST_DATAGRAM;
+use lagoonproxy_packet::peers::peer_datagram::MAX_DATAGRAM_BYTES;
 use lagoonproxy_packet::peers::peer_datagram::PeerDatagram;
 use lagoonproxy_packet::peers::peer_heartbeat::PeerHeartbeat;
 use lagoonproxy_packet::peers::peer_table::PeerTable;
+use lagoonproxy_packet::selection::zone_spill::FULL_SHARE;
 use lagoonproxy_packet::selection::zone_spill::LocalLoad;
 use lagoonproxy_packet::selection::zone_spill::SpillInput;
-use lagoonproxy_packet::selection::zone_spill::WHOLE_SHARE;
 use lagoonproxy_packet::selection::zone_spill::ZoneSpill;
 use lagoonproxy_packet::selection::zone_spill::ZoneSpillConfig;
 use lagoonproxy_packet::state::store_position::StorePosition;
@@ -44,7 +44,7 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// Thousandths of a share.
-const THOUSANDTH: u32 = WHOLE_SHARE / 1000;
+const THOUSANDTH: u32 = FULL_SHARE / 1000;
 
 fn tag_of_ledger() -> ServiceTag {
     service_tag(&"ledger".into())
@@ -149,7 +149,7 @@
         self.sequence += 1;
         let sequence = self.sequence;
         self.spill
-            .heard_digest(self.now, host(0, 1), sequence, 8, entries);
+            .handle_digest(self.now, host(0, 1), sequence, 8, entries);
     }
 
     fn tick(&mut self) {
@@ -614,7 +614,7 @@
         rig.pass(100, &[large("b", 10_000), large("c", 500)]);
         let shares = rig.spill.shares(0).iter();
         let sum: u32 = shares.map(|share| share.share).sum();
-        assert!(sum <= WHOLE_SHARE / 2, "{sum}");
+        assert!(sum <= FULL_SHARE / 2, "{sum}");
     }
 }
 
@@ -876,7 +876,7 @@
     rig.spill.heard(rig.now, host(1, 2), &answer);
     let entries = rig.spill.entries(rig.now, &services);
     let told: usize = entries.iter().map(|entry| entry.services.len()).sum();
-    assert!((1..=MOST_DIGEST_LOADS).contains(&told), "{told}");
+    assert!((1..=MAX_DIGEST_LOADS).contains(&told), "{told}");
     assert_eq!(entries[0].services[0].service, 99);
 }
 
@@ -898,7 +898,7 @@
     // Guards against a zone whose hosts see its own callers only, while two others fill its slots.
     let mut rig = SpillRig::new(local_at(1300));
     rig.is_aggregator = true;
-    rig.local.sent = vec![ZoneVisit {
+    rig.local.sent = vec![SpilledRequests {
         zone: "b".into(),
         in_progress: 10_000,
     }];
@@ -906,11 +906,11 @@
     let asked = rig.ask(&peers);
     let mut from_c = reply_to(&asked, "c", 1200);
     from_c.services[0].visits = vec![
-        ZoneVisit {
+        SpilledRequests {
             zone: "b".into(),
             in_progress: 7000,
         },
-        ZoneVisit {
+        SpilledRequests {
             zone: ZONE.into(),
             in_progress: 3000,
         },
@@ -1156,20 +1156,20 @@
     for sequence in 1..40 {
         rig.now += LOOK;
         rig.spill
-            .heard_digest(rig.now, many, sequence, 6, &told(500));
+            .handle_digest(rig.now, many, sequence, 6, &told(500));
         rig.spill
-            .heard_digest(rig.now, few, sequence, 2, &told(1300));
+            .handle_digest(rig.now, few, sequence, 2, &told(1300));
         rig.tick();
     }
     let share = rig.share("b");
     assert!(share > 100);
-    rig.spill.heard_digest(rig.now, many, 12, 6, &told(1300));
+    rig.spill.handle_digest(rig.now, many, 12, 6, &told(1300));
     rig.pass_deaf(500);
     assert_eq!(rig.share("b"), share, "an older digest");
     for sequence in 40..100 {
         rig.now += LOOK;
         rig.spill
-            .heard_digest(rig.now, few, sequence, 2, &told(1300));
+            .handle_digest(rig.now, few, sequence, 2, &told(1300));
         rig.tick();
     }
     assert_eq!(rig.share("b"), 0, "the other aggregator is gone");
@@ -1194,7 +1194,7 @@
         change: fn(&mut ZoneLoadReport),
         valid: bool,
     }
-    let most = MOST_REQUESTS as u32 * 1000;
+    let most = MAX_REQUESTS as u32 * 1000;
     assert_eq!(most, 65_535_000);
     let cases = [
         Case {
@@ -1222,7 +1222,7 @@
         Case {
             name: "too many in other zones",
             change: |report| {
-                report.services[0].visits = vec![ZoneVisit {
+                report.services[0].visits = vec![SpilledRequests {
                     zone: "c".into(),
                     in_progress: u32::MAX,
                 }];
@@ -1295,7 +1295,7 @@
         services: vec![service_load(1300)],
     };
     let sender = host(1, 2);
-    let answer = rig.core.heard_zone_load(rig.now, sender, &asked);
+    let answer = rig.core.handle_zone_load(rig.now, sender, &asked);
     let answer = answer.expect("an answer");
     assert_eq!(answer.targets, [sender]);
     let PeerDatagram::ZoneLoad(report) = answer.datagram else {
@@ -1313,7 +1313,7 @@
         wants_reply: false,
         ..asked
     };
-    assert_eq!(rig.core.heard_zone_load(rig.now, sender, &reply), None);
+    assert_eq!(rig.core.handle_zone_load(rig.now, sender, &reply), None);
 }
 
 #[test]
@@ -1328,12 +1328,15 @@
         services: vec![service_load(500)],
     };
     absurd.services[0].in_progress = u32::MAX;
-    assert_eq!(rig.core.heard_zone_load(rig.now, host(1, 2), &absurd), None);
+    assert_eq!(
+        rig.core.handle_zone_load(rig.now, host(1, 2), &absurd),
+        None
+    );
     let digest = LoadDigest {
         zones: vec![zone_entry("b", 100)],
         ..LoadDigest::default()
     };
-    rig.core.heard_digest(rig.now, host(0, 2), &digest);
+    rig.core.handle_digest(rig.now, host(0, 2), &digest);
     rig.events.clear();
     for flow in 0..50 {
         rig.open(flow, 0);
@@ -1359,7 +1362,7 @@
                 pressure: 1000 + number,
                 visits: zones
                     .iter()
-                    .map(|zone| ZoneVisit {
+                    .map(|zone| SpilledRequests {
                         zone: (*zone).into(),
                         in_progress: 30_000,
                     })
@@ -1380,14 +1383,14 @@
         rate < 5000,
         "a fifth of the 25 KB/s of a host's control traffic"
     );
-    let fitted = with_services(300, &["zone-2", "zone-3"]).fitted();
-    assert!(fitted.services.len() > 20);
-    let mut pressures = fitted.services.iter().map(|load| load.pressure);
+    let truncated_to_fit = with_services(300, &["zone-2", "zone-3"]).truncated_to_fit();
+    assert!(truncated_to_fit.services.len() > 20);
+    let mut pressures = truncated_to_fit.services.iter().map(|load| load.pressure);
     assert!(
         pressures.all(|pressure| pressure > 1200),
         "the most loaded stay"
     );
-    assert!(length(fitted) <= MOST_DATAGRAM);
+    assert!(length(truncated_to_fit) <= MAX_DATAGRAM_BYTES);
 
     let entry = |zone: &str, services: usize| ZoneLoadEntry {
         zone: zone.into(),
@@ -1413,9 +1416,9 @@
         added(1),
         added(5)
     );
-    let added = added(MOST_DIGEST_LOADS / 3);
-    println!("zones in a digest: at most {added} bytes of {MOST_DATAGRAM}");
-    assert!(added <= MOST_DATAGRAM / 2, "half stays for upstreams");
+    let added = added(MAX_DIGEST_LOADS / 3);
+    println!("zones in a digest: at most {added} bytes of {MAX_DATAGRAM_BYTES}");
+    assert!(added <= MAX_DATAGRAM_BYTES / 2, "half stays for upstreams");
 }
 
 fn arbitrary_report() -> impl Strategy<Value = ZoneLoadReport> {
@@ -1440,7 +1443,7 @@
             visits: load
                 .5
                 .into_iter()
-                .map(|(zone, count)| ZoneVisit {
+                .map(|(zone, count)| SpilledRequests {
                     zone: zone.into(),
                     in_progress: count >> 8,
                 })
@@ -1526,10 +1529,10 @@
             rig.tick();
             let shares = rig.spill.shares(0);
             let sum: u32 = shares.iter().map(|share| share.share).sum();
-            prop_assert!(sum <= WHOLE_SHARE / 2);
+            prop_assert!(sum <= FULL_SHARE / 2);
             // Three looks cover 200 ms, in which at most one step is made.
             let before = sums[sums.len().saturating_sub(2)..].iter().max().copied();
-            prop_assert!(sum <= before.unwrap_or(0) + WHOLE_SHARE / 20, "{sums:?}, {sum}");
+            prop_assert!(sum <= before.unwrap_or(0) + FULL_SHARE / 20, "{sums:?}, {sum}");
             sums.push(sum);
             for (place, zone) in ["b", "c"].into_iter().enumerate() {
                 let (_pressure, age, slots) = look.zones[place];
@@ -1556,10 +1559,10 @@
             rig.spill.heard(rig.now, host(1, from % 8), &report);
             rig.tick();
             let entries = entries_of(&rig);
-            prop_assert!(entries.len() <= MOST_DIGEST_LOADS);
+            prop_assert!(entries.len() <= MAX_DIGEST_LOADS);
             rig.digest(&entries);
             prop_assert!(rig.sum() <= 500);
-            core.core.heard_zone_load(core.now, host(1, from % 8), &report);
+            core.core.handle_zone_load(core.now, host(1, from % 8), &report);
         }
     }
 
--- a/packet/tests/test_zone_waves.rs
+++ b/packet/tests/test_zone_waves.rs
@@ -9,12 +9,12 @@
 
 use lagoonproxy::ids::ZoneName;
 use lagoonproxy_packet::load::load_report::service_tag;
-use lagoonproxy_packet::load::zone_load::ZoneVisit;
+use lagoonproxy_packet::load::zone_load::SpilledRequests;
 use lagoonproxy_packet::peers::peer_datagram::PeerDatagram;
 use lagoonproxy_packet::peers::peer_table::PeerTable;
+use lagoonproxy_packet::selection::zone_spill::FULL_SHARE;
 use lagoonproxy_packet::selection::zone_spill::LocalLoad;
 use lagoonproxy_packet::selection::zone_spill::SpillInput;
-use lagoonproxy_packet::selection::zone_spill::WHOLE_SHARE;
 use lagoonproxy_packet::selection::zone_spill::ZoneSpill;
 use lagoonproxy_packet::selection::zone_spill::ZoneSpillConfig;
 use lagoonproxy_packet::upstreams::zone_evacuation::EvacuatedZones;
@@ -94,7 +94,7 @@
     fn share(&self, zone: usize) -> f64 {
         let mut shares = self.spill.shares(0).iter();
         let share = shares.find(|share| share.zone == zone_name(zone));
-        share.map_or(0.0, |share| f64::from(share.share) / f64::from(WHOLE_SHARE))
+        share.map_or(0.0, |share| f64::from(share.share) / f64::from(FULL_SHARE))
     }
 
     /// What the zone's digest says: the mean of the last second.
@@ -104,11 +104,11 @@
             (sum / self.measured.len() as f64 * 1000.0) as u32
         };
         let others = (0..ZONES).filter(|zone| *zone != own);
-        let sent = others.clone().map(|zone| ZoneVisit {
+        let sent = others.clone().map(|zone| SpilledRequests {
             zone: zone_name(zone),
             in_progress: mean(zone),
         });
-        let sent: Vec<ZoneVisit> = sent.filter(|visit| visit.in_progress > 0).collect();
+        let sent: Vec<SpilledRequests> = sent.filter(|visit| visit.in_progress > 0).collect();
         let in_progress = mean(own);
         let demand = sent
             .iter()
@@ -295,7 +295,7 @@
 fn test_pressures_even_out_while_there_is_room() {
     // Guards against a zone that is full while slots are free in another.
     let no_spill = ZoneSpillConfig {
-        most_share: 0,
+        max_total_share: 0,
         ..ZoneSpillConfig::default()
     };
     for (plan, seed) in waves_with_room().into_iter().zip(1..) {
--- a/packetd/src/event_log.rs
+++ b/packetd/src/event_log.rs
@@ -152,7 +152,7 @@
         DecisionEvent::FirstState { upstreams, through } => {
             log::info!(upstreams, through:%; "first state");
         }
-        DecisionEvent::RouteField { version, fault } => {
+        DecisionEvent::RouteFieldIgnored { version, fault } => {
             metrics.invalid_fields.inc_by(fault.count.into());
             let code = ResultCode::RouteFieldInvalid.number();
             let (field, owner, value) = (&fault.field, &fault.owner, &fault.value);
--- a/packetd/src/freeze_watch.rs
+++ b/packetd/src/freeze_watch.rs
@@ -6,7 +6,7 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-use lagoonproxy_packet::packet_core::FREEZE_SLACK;
+use lagoonproxy_packet::packet_core::FREEZE_THRESHOLD;
 
 /// Compares the two clocks from time to time.
 pub struct FreezeWatch {
@@ -31,7 +31,7 @@
         let lost = running.saturating_sub(self.running).saturating_sub(passed);
         self.steady = steady;
         self.running = running;
-        (lost > FREEZE_SLACK).then_some(lost)
+        (lost > FREEZE_THRESHOLD).then_some(lost)
     }
 }
 
--- a/packetd/src/host_metrics.rs
+++ b/packetd/src/host_metrics.rs
@@ -225,7 +225,7 @@
         self.through.set(through.revision);
         self.reads.set(u64::from(core.reads()));
         self.peers.set(core.peers().alive_hosts(now) as u64);
-        self.flows.set(core.evidence().open_flows() as u64);
+        self.flows.set(core.flow_tracker().open_flows() as u64);
         let upstreams = core.upstreams();
         let flows = upstreams.evacuated_flows();
         self.evacuated_zones.set(flows.len() as u64);
--- a/packetd/src/host_process.rs
+++ b/packetd/src/host_process.rs
@@ -85,7 +85,7 @@
         tokio::time::sleep(TICK).await;
         if let Some(lost) = freeze.stood_still() {
             log::warn!(lost_ms = lost.as_millis() as u64; "the machine stood still");
-            state.core.borrow_mut().woke_up(Instant::now());
+            state.core.borrow_mut().handle_stall(Instant::now());
         }
         if state.core.borrow().has_dispatch_datagrams() {
             state.dispatch_due.notify_one();
--- a/packetd/src/peer_socket.rs
+++ b/packetd/src/peer_socket.rs
@@ -8,8 +8,8 @@
 
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::core_peers::AddressedHeartbeat;
-use lagoonproxy_packet::load::load_view::AddressedDatagram;
-use lagoonproxy_packet::peers::peer_datagram::MOST_DATAGRAM;
+use lagoonproxy_packet::load::load_tracker::AddressedDatagram;
+use lagoonproxy_packet::peers::peer_datagram::MAX_DATAGRAM_BYTES;
 use lagoonproxy_packet::peers::peer_datagram::PeerDatagram;
 use lagoonproxy_packet::peers::peer_heartbeat::PeerHeartbeat;
 use tokio::net::UdpSocket;
@@ -76,38 +76,41 @@
             state.merge(&update);
         }
         Ok(PeerDatagram::Failures(reports)) => {
-            state.core.borrow_mut().heard_failures(source, &reports);
+            state
+                .core
+                .borrow_mut()
+                .handle_failure_reports(source, &reports);
         }
         Ok(PeerDatagram::Load(report)) => {
             let mut core = state.core.borrow_mut();
-            core.heard_load(Instant::now(), source, &report);
+            core.handle_load_report(Instant::now(), source, &report);
         }
         Ok(PeerDatagram::Digest(digest)) => {
             let mut core = state.core.borrow_mut();
-            core.heard_digest(Instant::now(), source, &digest);
+            core.handle_digest(Instant::now(), source, &digest);
         }
         Ok(PeerDatagram::ZoneLoad(report)) => {
             let mut core = state.core.borrow_mut();
-            let reply = core.heard_zone_load(Instant::now(), source, &report);
+            let reply = core.handle_zone_load(Instant::now(), source, &report);
             drop(core);
             send_due(state, socket, reply);
         }
         Ok(PeerDatagram::Requests(events)) => {
             let mut core = state.core.borrow_mut();
-            core.heard_requests(Instant::now(), &events);
+            core.handle_request_events(Instant::now(), &events);
             if core.has_dispatch_datagrams() {
                 state.dispatch_due.notify_one();
             }
         }
         Ok(PeerDatagram::Query(query)) => {
             let mut core = state.core.borrow_mut();
-            let reply = core.heard_query(Instant::now(), source, &query);
+            let reply = core.handle_query(Instant::now(), source, &query);
             drop(core);
             send_due(state, socket, [reply]);
         }
         Ok(PeerDatagram::Reply(reply)) => {
             let mut core = state.core.borrow_mut();
-            let due = core.heard_reply(Instant::now(), source, reply);
+            let due = core.handle_reply(Instant::now(), source, reply);
             drop(core);
             if let Some((key, due_at)) = due {
                 state.parked.postpone(key, due_at);
@@ -197,7 +200,7 @@
         let change = PeerDatagram::Change(update);
         let length = change.encode().map(|bytes| bytes.len());
         let datagram = match length {
-            Ok(length) if length <= MOST_DATAGRAM => change,
+            Ok(length) if length <= MAX_DATAGRAM_BYTES => change,
             _ => {
                 let mut core = state.core.borrow_mut();
                 PeerDatagram::Heartbeat(core.short_heartbeat(now, state.stopping.get()))
--- a/packetd/src/store_reader.rs
+++ b/packetd/src/store_reader.rs
@@ -6,7 +6,7 @@
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::state::start_plan::StartPlan;
 use lagoonproxy_packet::state::state_snapshot::StateUpdate;
-use lagoonproxy_packet::state::store_feed::ANSWER_LIMIT;
+use lagoonproxy_packet::state::store_feed::ANSWER_TIMEOUT;
 use lagoonproxy_packet::state::store_feed::FeedStep;
 use lagoonproxy_packet::state::store_feed::StoreFault;
 use lagoonproxy_platform::store_client::BodyCheck;
@@ -27,12 +27,15 @@
         let step = state.core.borrow_mut().store_step(Instant::now());
         match step {
             FeedStep::Wait { until } => tokio::time::sleep_until(until.into()).await,
-            FeedStep::List { after, look_after } => {
-                let check = look_after.map(|look_after| BodyCheck {
-                    look_after,
-                    leaves: StartPlan::is_crowded,
+            FeedStep::List {
+                after,
+                progress_check_after,
+            } => {
+                let check = progress_check_after.map(|progress_check_after| BodyCheck {
+                    progress_check_after,
+                    leaves: StartPlan::is_list_too_slow,
                 });
-                let page = client.list(after.as_deref(), ANSWER_LIMIT, check).await;
+                let page = client.list(after.as_deref(), ANSWER_TIMEOUT, check).await;
                 let update = page.and_then(|page| {
                     let mut core = state.core.borrow_mut();
                     core.store_listed(Instant::now(), page)
@@ -40,7 +43,7 @@
                 take_in(&state, update);
             }
             FeedStep::Watch { after, wait } => {
-                let batch = client.watch(after.revision, wait, ANSWER_LIMIT).await;
+                let batch = client.watch(after.revision, wait, ANSWER_TIMEOUT).await;
                 let update = batch.and_then(|batch| {
                     let mut core = state.core.borrow_mut();
                     core.store_changed(Instant::now(), batch).map(Some)
@@ -80,7 +83,7 @@
 fn fault_code(fault: &StoreFault) -> ResultCode {
     match fault {
         StoreFault::Unreachable { .. } | StoreFault::TimedOut => ResultCode::PlatformUnreachable,
-        StoreFault::Crowded => ResultCode::PlatformCrowded,
+        StoreFault::ListTooSlow => ResultCode::PlatformCrowded,
         StoreFault::Refused { .. } => ResultCode::PlatformRefused,
         StoreFault::HistoryDropped => ResultCode::PlatformHistoryDropped,
         StoreFault::EraChanged { .. } => ResultCode::PlatformRestored,
--- a/packetd/tests/test_service_metrics.rs
+++ b/packetd/tests/test_service_metrics.rs
@@ -2,7 +2,7 @@
 
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::ids::ClassRank;
-use lagoonproxy_packet::load::service_room::ServiceRoom;
+use lagoonproxy_packet::load::load_state::ContentionState;
 use lagoonproxy_packet::packet_action::DecisionEvent;
 use lagoonproxy_packet::packet_status::ServiceStatus;
 use lagoonproxy_packet::routes::route_config::RequestPriority;
@@ -41,7 +41,7 @@
         deferred,
         upstream: "i-1".into(),
         in_progress: 0,
-        room: ServiceRoom::default(),
+        room: ContentionState::default(),
         age: None,
         version: 1,
     }
