--- a/bench/src/bin/lagoon-ownership.rs
+++ b/bench/src/bin/lagoon-ownership.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use lagoonproxy::flow_hash::FlowHasher;
-use lagoonproxy::flow_question::FlowIntent;
+use lagoonproxy::flow_query::FlowIntent;
 use lagoonproxy::ids::FlowDigest;
 use lagoonproxy_bench::flow_cell::FlowCell;
 use serde::Serialize;
@@ -105,7 +105,7 @@
 }
 
 fn share_in_doubt(cell: &FlowCell, sample: &[FlowDigest]) -> f64 {
-    let in_doubt = sample.iter().filter(|digest| cell.is_in_doubt(**digest));
+    let in_doubt = sample.iter().filter(|digest| cell.needs_query(**digest));
     in_doubt.count() as f64 / sample.len() as f64
 }
 
--- a/bench/src/bin/lagoon-placement.rs
+++ b/bench/src/bin/lagoon-placement.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 use lagoonproxy::flow_hash::FlowHasher;
-use lagoonproxy::flow_question::FlowIntent;
+use lagoonproxy::flow_query::FlowIntent;
 use lagoonproxy::ids::FlowDigest;
 use lagoonproxy::ids::HostId;
 use lagoonproxy::ids::UpstreamId;
--- a/bench/src/choice_cost.rs
+++ b/bench/src/choice_cost.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use lagoonproxy::config_snapshot::UpstreamEntry;
-use lagoonproxy::load_message::GrantEnd;
+use lagoonproxy::load_message::GrantOutcome;
 use lagoonproxy::load_settings::LoadSettings;
 use lagoonproxy::slot_table::PoolMember;
 use lagoonproxy::slot_table::SlotTable;
@@ -33,10 +33,11 @@
     plan.upstreams = count;
     let config = plan.config(1, &FleetState::default());
     let entries: Vec<UpstreamEntry> = (0..count).map(|id| config.upstreams[&id].clone()).collect();
-    let best = |time: &dyn Fn() -> f64| (0..3).map(|_run| time()).fold(f64::INFINITY, f64::min);
+    let least_used =
+        |time: &dyn Fn() -> f64| (0..3).map(|_run| time()).fold(f64::INFINITY, f64::min);
     ChoiceCost {
-        table: best(&|| time_table(&entries)),
-        scan: best(&|| time_scan(count)),
+        table: least_used(&|| time_table(&entries)),
+        scan: least_used(&|| time_scan(count)),
     }
 }
 
@@ -51,9 +52,11 @@
     let begin = Instant::now();
     for _job in 0..JOBS {
         at += Duration::from_micros(100);
-        let slot = table.best().and_then(|id| table.take(at, id, average));
+        let slot = table
+            .least_used()
+            .and_then(|id| table.take(at, id, average));
         if let Some(slot) = black_box(slot) {
-            table.give_back(at + average, slot, GrantEnd::Answered, average);
+            table.give_back(at + average, slot, GrantOutcome::Answered, average);
         }
     }
     nanos_each(begin, JOBS)
--- a/bench/src/dispatch_check.rs
+++ b/bench/src/dispatch_check.rs
@@ -44,7 +44,7 @@
         plan
     };
     let steady = plan(0.8);
-    let keepers = run_keepers(&steady);
+    let allocators = run_keepers(&steady);
     let bound = run_single_queue(&steady, QueueOrder::Arrival);
     let random = VirtualCluster::new(steady.clone(), FullHabit::Queue, |host| {
         Box::new(RandomPolicy::new(host.into()))
@@ -56,16 +56,20 @@
     vec![
         check(
             "p99 wait at 80 % load over the single queue's",
-            keepers.wait_p99_ms / bound.wait_p99_ms,
+            allocators.wait_p99_ms / bound.wait_p99_ms,
             2.4,
         ),
         check(
             "p99 wait at 80 % load over random choice's",
-            keepers.wait_p99_ms / random.wait_p99_ms,
+            allocators.wait_p99_ms / random.wait_p99_ms,
             0.25,
         ),
-        check("imbalance at 80 % load", keepers.imbalance, 1.06),
-        check("messages a job at 80 % load", keepers.messages_per_job, 3.2),
+        check("imbalance at 80 % load", allocators.imbalance, 1.06),
+        check(
+            "messages a job at 80 % load",
+            allocators.messages_per_job,
+            3.2,
+        ),
         check("capacity lost at 200 % load", 1.0 - flooded.goodput, 0.05),
         check(
             "missed in queue at 200 % load",
@@ -74,7 +78,7 @@
         ),
         check(
             "p99 wait at 200 % load over that at 80 %",
-            flooded.wait_p99_ms / keepers.wait_p99_ms,
+            flooded.wait_p99_ms / allocators.wait_p99_ms,
             4.0,
         ),
         check(
--- a/bench/src/flow_cell.rs
+++ b/bench/src/flow_cell.rs
@@ -12,12 +12,12 @@
 use lagoonproxy::config_snapshot::UpstreamState;
 use lagoonproxy::flow_binding::FlowBinding;
 use lagoonproxy::flow_directory::DirectorySettings;
+use lagoonproxy::flow_directory::FlowCommand;
 use lagoonproxy::flow_directory::FlowDirectory;
 use lagoonproxy::flow_directory::FlowLookup;
-use lagoonproxy::flow_directory::FlowOrder;
 use lagoonproxy::flow_message::FlowMessage;
 use lagoonproxy::flow_message::FlowParties;
-use lagoonproxy::flow_question::FlowIntent;
+use lagoonproxy::flow_query::FlowIntent;
 use lagoonproxy::host_core::MAX_HOPS;
 use lagoonproxy::ids::FlowDigest;
 use lagoonproxy::ids::HostId;
@@ -170,7 +170,7 @@
             host = owner;
         }
         let lookup = self.lookup_at(host, digest, intent);
-        if lookup != FlowLookup::Asking {
+        if lookup != FlowLookup::Querying {
             return lookup;
         }
         for _tick in 0..200 {
@@ -179,7 +179,7 @@
             }
             self.step();
         }
-        FlowLookup::Unsure
+        FlowLookup::Undetermined
     }
 
     /// Starts a host.
@@ -242,9 +242,9 @@
     }
 
     /// Whether a frame of an opened flow would have to wait for a question.
-    pub fn is_in_doubt(&self, digest: FlowDigest) -> bool {
+    pub fn needs_query(&self, digest: FlowDigest) -> bool {
         let owner = self.hosts.get(&self.owner(digest));
-        owner.is_some_and(|directory| directory.is_in_doubt(self.now, digest, SERVICE))
+        owner.is_some_and(|directory| directory.needs_query(self.now, digest, SERVICE))
     }
 
     /// Flows held, by host.
@@ -256,8 +256,8 @@
     pub fn frame(&mut self, digest: FlowDigest, intent: FlowIntent) -> Option<FlowBinding> {
         match self.lookup(digest, intent) {
             FlowLookup::Found(binding) => Some(binding),
-            FlowLookup::Asking => self.await_settled(digest),
-            FlowLookup::Absent | FlowLookup::Unsure => None,
+            FlowLookup::Querying => self.await_settled(digest),
+            FlowLookup::NotFound | FlowLookup::Undetermined => None,
         }
     }
 
@@ -267,12 +267,12 @@
     }
 
     fn lookup_at(&mut self, host: HostId, digest: FlowDigest, intent: FlowIntent) -> FlowLookup {
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         let Some(directory) = self.hosts.get_mut(&host) else {
-            return FlowLookup::Absent;
+            return FlowLookup::NotFound;
         };
-        let lookup = directory.lookup(self.now, digest, SERVICE, intent, &mut orders);
-        self.post(host, orders);
+        let lookup = directory.lookup(self.now, digest, SERVICE, intent, &mut commands);
+        self.post(host, commands);
         lookup
     }
 
@@ -301,11 +301,11 @@
         }
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
         for host in hosts {
-            let mut orders = Vec::new();
+            let mut commands = Vec::new();
             if let Some(directory) = self.hosts.get_mut(&host) {
-                directory.tick(self.now, &mut orders);
+                directory.tick(self.now, &mut commands);
             }
-            self.post(host, orders);
+            self.post(host, commands);
         }
     }
 
@@ -323,23 +323,23 @@
     }
 
     fn deliver(&mut self, letter: &Letter) {
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         if let Some(directory) = self.hosts.get_mut(&letter.to) {
-            directory.take_message(
+            directory.handle_message(
                 self.now,
                 letter.from,
                 letter.parties,
                 &letter.message,
-                &mut orders,
+                &mut commands,
             );
         }
-        self.post(letter.to, orders);
+        self.post(letter.to, commands);
     }
 
-    fn post(&mut self, from: HostId, orders: Vec<FlowOrder>) {
-        for order in orders {
+    fn post(&mut self, from: HostId, commands: Vec<FlowCommand>) {
+        for order in commands {
             match order {
-                FlowOrder::Tell {
+                FlowCommand::Tell {
                     host,
                     parties,
                     message,
@@ -353,7 +353,7 @@
                         message,
                     });
                 }
-                FlowOrder::Settled { digest, lookup } => {
+                FlowCommand::Settled { digest, lookup } => {
                     self.settled.insert(digest, lookup);
                 }
             }
@@ -386,8 +386,8 @@
                 self.counts.question_bytes += bytes;
             }
             FlowMessage::Tell { .. } => self.counts.question_bytes += bytes,
-            FlowMessage::Records { notes, .. } => {
-                self.counts.copied += notes.len();
+            FlowMessage::Records { entries, .. } => {
+                self.counts.copied += entries.len();
                 self.counts.control_bytes += bytes;
             }
             FlowMessage::Baselines { .. }
@@ -414,11 +414,11 @@
         for host in hosts {
             let view = self.view(host);
             self.views.insert(host, view.clone());
-            let mut orders = Vec::new();
+            let mut commands = Vec::new();
             if let Some(directory) = self.hosts.get_mut(&host) {
-                directory.set_view(self.now, view, &mut orders);
+                directory.set_view(self.now, view, &mut commands);
             }
-            self.post(host, orders);
+            self.post(host, commands);
         }
     }
 }
--- a/bench/src/late_binding_policy.rs
+++ b/bench/src/late_binding_policy.rs
@@ -13,14 +13,14 @@
 use lagoonproxy::config_snapshot::ConfigSnapshot;
 use lagoonproxy::ids::HostId;
 use lagoonproxy::ids::UpstreamId;
-use lagoonproxy::load_message::GrantEnd;
+use lagoonproxy::load_message::GrantOutcome;
 use lagoonproxy::load_message::LoadBody;
 use lagoonproxy::load_message::LoadMessage;
-use lagoonproxy::load_message::SlotAsk;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_message::SlotRequest;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
+use lagoonproxy::load_policy::SubmittedRequest;
 use lagoonproxy::request_table::RequestKey;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -66,7 +66,7 @@
         self.upstreams = all_upstreams(config);
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         _now: Instant,
         sender: HostId,
@@ -80,7 +80,7 @@
             decisions.push(LoadDecision::Send { key, upstream });
             return;
         }
-        let body = LoadBody::Release(GrantEnd::Unused);
+        let body = LoadBody::Release(GrantOutcome::Unused);
         decisions.push(LoadDecision::Tell {
             host: sender,
             message: LoadMessage {
@@ -90,12 +90,12 @@
         });
     }
 
-    fn submit(&mut self, now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>) {
+    fn submit(&mut self, now: Instant, job: SubmittedRequest, decisions: &mut Vec<LoadDecision>) {
         self.waiting.push_back(job.key);
         self.deadlines.insert(job.key, job.deadline);
         for _reservation in 0..RESERVATIONS_PER_JOB {
             let drawn = self.random.random_range(0..self.upstreams.len());
-            let ask = SlotAsk {
+            let slot_request = SlotRequest {
                 upstream: None,
                 caller: 0,
                 waited: Duration::ZERO,
@@ -106,9 +106,9 @@
                 host: UPSTREAM_HOST + self.upstreams[drawn],
                 message: LoadMessage {
                     service: SERVICE,
-                    ask: 0,
-                    body: LoadBody::Ask(ask),
-                    former: None,
+                    slot_request: 0,
+                    body: LoadBody::Request(slot_request),
+                    previous_release: None,
                 },
             });
         }
@@ -118,7 +118,7 @@
         &mut self,
         _now: Instant,
         _key: RequestKey,
-        _end: JobEnd,
+        _end: AttemptOutcome,
         _decisions: &mut Vec<LoadDecision>,
     ) {
     }
--- a/bench/src/placement_scheme.rs
+++ b/bench/src/placement_scheme.rs
@@ -6,7 +6,7 @@
 
 use lagoonproxy::flow_binding::FlowBinding;
 use lagoonproxy::flow_hash::rendezvous_weight;
-use lagoonproxy::flow_question::FlowIntent;
+use lagoonproxy::flow_query::FlowIntent;
 use lagoonproxy::ids::FlowDigest;
 use lagoonproxy::ids::HostId;
 use lagoonproxy::ids::UpstreamId;
--- a/bench/src/probing_policy.rs
+++ b/bench/src/probing_policy.rs
@@ -13,10 +13,10 @@
 use lagoonproxy::ids::UpstreamId;
 use lagoonproxy::load_message::LoadBody;
 use lagoonproxy::load_message::LoadMessage;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
+use lagoonproxy::load_policy::SubmittedRequest;
 use lagoonproxy::request_table::RequestKey;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -77,7 +77,7 @@
         self.upstreams = all_upstreams(config);
     }
 
-    fn learn_report(&mut self, now: Instant, report: UpstreamReport) {
+    fn handle_report(&mut self, now: Instant, report: UpstreamReport) {
         self.pool
             .retain(|answer| answer.upstream != report.upstream);
         if self.pool.len() >= POOL_SIZE {
@@ -90,7 +90,7 @@
         });
     }
 
-    fn submit(&mut self, now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>) {
+    fn submit(&mut self, now: Instant, job: SubmittedRequest, decisions: &mut Vec<LoadDecision>) {
         let upstream = self.choose(now);
         decisions.push(LoadDecision::Send {
             key: job.key,
@@ -99,9 +99,9 @@
         for _probe in 0..PROBES_PER_JOB {
             let message = LoadMessage {
                 service: SERVICE,
-                ask: 0,
+                slot_request: 0,
                 body: LoadBody::Queued,
-                former: None,
+                previous_release: None,
             };
             let host = UPSTREAM_HOST + self.draw();
             decisions.push(LoadDecision::Tell { host, message });
@@ -112,7 +112,7 @@
         &mut self,
         _now: Instant,
         _key: RequestKey,
-        _end: JobEnd,
+        _end: AttemptOutcome,
         _decisions: &mut Vec<LoadDecision>,
     ) {
     }
--- a/bench/src/random_policy.rs
+++ b/bench/src/random_policy.rs
@@ -5,10 +5,10 @@
 
 use lagoonproxy::config_snapshot::ConfigSnapshot;
 use lagoonproxy::ids::UpstreamId;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
+use lagoonproxy::load_policy::SubmittedRequest;
 use lagoonproxy::request_table::RequestKey;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -42,7 +42,7 @@
         self.upstreams = all_upstreams(config);
     }
 
-    fn submit(&mut self, _now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>) {
+    fn submit(&mut self, _now: Instant, job: SubmittedRequest, decisions: &mut Vec<LoadDecision>) {
         let drawn = self.random.random_range(0..self.upstreams.len());
         decisions.push(LoadDecision::Send {
             key: job.key,
@@ -54,7 +54,7 @@
         &mut self,
         _now: Instant,
         _key: RequestKey,
-        _end: JobEnd,
+        _end: AttemptOutcome,
         _decisions: &mut Vec<LoadDecision>,
     ) {
     }
--- a/bench/src/two_choice_policy.rs
+++ b/bench/src/two_choice_policy.rs
@@ -7,10 +7,10 @@
 use lagoonproxy::config_snapshot::ConfigSnapshot;
 use lagoonproxy::host_event::UpstreamReport;
 use lagoonproxy::ids::UpstreamId;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
+use lagoonproxy::load_policy::SubmittedRequest;
 use lagoonproxy::request_table::RequestKey;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -48,11 +48,11 @@
         self.upstreams = all_upstreams(config);
     }
 
-    fn learn_report(&mut self, _now: Instant, report: UpstreamReport) {
+    fn handle_report(&mut self, _now: Instant, report: UpstreamReport) {
         self.loads.insert(report.upstream, report.busy_slots);
     }
 
-    fn submit(&mut self, _now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>) {
+    fn submit(&mut self, _now: Instant, job: SubmittedRequest, decisions: &mut Vec<LoadDecision>) {
         let (_load, upstream) = self.draw().min(self.draw());
         *self.loads.entry(upstream).or_default() += 1;
         decisions.push(LoadDecision::Send {
@@ -65,7 +65,7 @@
         &mut self,
         _now: Instant,
         _key: RequestKey,
-        _end: JobEnd,
+        _end: AttemptOutcome,
         _decisions: &mut Vec<LoadDecision>,
     ) {
     }
--- a/bench/src/upstream_events.rs
+++ b/bench/src/upstream_events.rs
@@ -8,7 +8,7 @@
 use lagoonproxy::ids::UpstreamId;
 use lagoonproxy::load_message::LoadBody;
 use lagoonproxy::load_message::LoadMessage;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 
 use crate::cluster_plan::SERVICE;
 use crate::virtual_cluster::UPSTREAM_HOST;
@@ -62,7 +62,7 @@
         upstream.busy -= 1;
         upstream.runs.push((since, now));
         if !upstream.mute {
-            self.answer(id, index, attempt, JobEnd::Answered);
+            self.answer(id, index, attempt, AttemptOutcome::Answered);
         }
         self.start_waiting(id);
     }
@@ -82,21 +82,27 @@
                     let attempt = self.run.jobs[index].sends;
                     self.start_job(id, index, attempt);
                 }
-                WaitingEntry::Reservation(host, ask) => {
+                WaitingEntry::Reservation(host, slot_request) => {
                     self.run.upstreams[id as usize].busy += 1;
                     let body = LoadBody::Grant { upstream: id };
-                    self.tell_from_upstream(id, host, ask, body);
+                    self.tell_from_upstream(id, host, slot_request, body);
                 }
             }
         }
     }
 
-    fn tell_from_upstream(&mut self, id: UpstreamId, host: HostId, ask: u32, body: LoadBody) {
+    fn tell_from_upstream(
+        &mut self,
+        id: UpstreamId,
+        host: HostId,
+        slot_request: u32,
+        body: LoadBody,
+    ) {
         let message = LoadMessage {
             service: SERVICE,
-            ask,
+            slot_request,
             body,
-            former: None,
+            previous_release: None,
         };
         self.count_message(UPSTREAM_HOST + id, &message);
         let delay = self.delay(host, id);
@@ -107,15 +113,15 @@
     /// Takes a probe or a reservation; a release, or the run that follows, frees the reserved slot.
     pub(crate) fn reserve(&mut self, id: UpstreamId, host: HostId, message: &LoadMessage) {
         match message.body {
-            LoadBody::Ask(_) => {
-                let entry = WaitingEntry::Reservation(host, message.ask);
+            LoadBody::Request(_) => {
+                let entry = WaitingEntry::Reservation(host, message.slot_request);
                 self.run.upstreams[id as usize].queue.push_back(entry);
             }
             LoadBody::Release(_) => self.run.upstreams[id as usize].busy -= 1,
             _ => {
                 let report = self.report(id);
                 let delay = self.delay(host, id);
-                let event = VirtualEvent::Result(host, usize::MAX, 0, JobEnd::Lost, report);
+                let event = VirtualEvent::Result(host, usize::MAX, 0, AttemptOutcome::Lost, report);
                 self.count_message(UPSTREAM_HOST + id, message);
                 self.schedule(self.now + delay, event);
             }
@@ -133,7 +139,7 @@
         }
     }
 
-    fn answer(&mut self, id: UpstreamId, index: usize, attempt: u32, end: JobEnd) {
+    fn answer(&mut self, id: UpstreamId, index: usize, attempt: u32, end: AttemptOutcome) {
         let host = self.run.jobs[index].host;
         let report = self.report(id);
         let delay = self.delay(host, id);
@@ -142,6 +148,6 @@
     }
 }
 
-fn not_started(retry_after: Duration) -> JobEnd {
-    JobEnd::NotStarted { retry_after }
+fn not_started(retry_after: Duration) -> AttemptOutcome {
+    AttemptOutcome::NotStarted { retry_after }
 }
--- a/bench/src/virtual_cluster.rs
+++ b/bench/src/virtual_cluster.rs
@@ -14,10 +14,10 @@
 use lagoonproxy::ids::HostId;
 use lagoonproxy::ids::UpstreamId;
 use lagoonproxy::load_message::LoadMessage;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
+use lagoonproxy::load_policy::SubmittedRequest;
 use lagoonproxy::request_table::RequestKey;
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy::wire_frame::PeerBody;
@@ -109,7 +109,7 @@
     Upstream(UpstreamId, HostId, LoadMessage),
     Run(UpstreamId, usize, u32),
     Finish(UpstreamId, usize, Instant, u32),
-    Result(HostId, usize, u32, JobEnd, UpstreamReport),
+    Result(HostId, usize, u32, AttemptOutcome, UpstreamReport),
     Deadline(usize),
     Change(WorldChange),
     Config(HostId, u64, FleetState),
@@ -241,7 +241,7 @@
             }
             VirtualEvent::Peer(host, sender, message) => {
                 self.decide(host, |policy, now, out| {
-                    policy.take_message(now, sender, &message, out);
+                    policy.handle_message(now, sender, &message, out);
                 });
             }
             VirtualEvent::Upstream(upstream, host, message) => {
@@ -337,7 +337,7 @@
         let index = self.run.jobs.len();
         let class = job.class as u8;
         let [.., high, low] = job.caller.to_be_bytes();
-        let load_job = LoadJob {
+        let load_job = SubmittedRequest {
             key: key_of(index),
             caller: IpAddr::V4(Ipv4Addr::new(10, class, high, low)),
             service: SERVICE,
@@ -445,10 +445,10 @@
         host: HostId,
         index: usize,
         attempt: u32,
-        end: JobEnd,
+        end: AttemptOutcome,
         report: UpstreamReport,
     ) {
-        self.decide(host, |policy, now, _out| policy.learn_report(now, report));
+        self.decide(host, |policy, now, _out| policy.handle_report(now, report));
         if index == usize::MAX {
             return;
         }
@@ -457,7 +457,7 @@
             return;
         }
         match end {
-            JobEnd::Answered => {
+            AttemptOutcome::Answered => {
                 job.result = CallerResult::Answered;
                 job.ended = self.now;
             }
@@ -483,7 +483,7 @@
         } else {
             job.result = CallerResult::MissedRunning;
             self.decide(host, |policy, now, out| {
-                policy.end(now, key_of(index), JobEnd::Lost, out);
+                policy.end(now, key_of(index), AttemptOutcome::Lost, out);
             });
         }
     }
@@ -512,7 +512,7 @@
             }
             WorldChange::Report(report) => {
                 for host in 0..self.plan.hosts {
-                    self.decide(host, |policy, now, _out| policy.learn_report(now, report));
+                    self.decide(host, |policy, now, _out| policy.handle_report(now, report));
                 }
             }
         }
--- a/bench/src/virtual_upstream.rs
+++ b/bench/src/virtual_upstream.rs
@@ -6,7 +6,7 @@
 
 use lagoonproxy::ids::HostId;
 use lagoonproxy::ids::UpstreamId;
-use lagoonproxy::load_message::AskId;
+use lagoonproxy::load_message::SlotRequestId;
 
 /// What an upstream does with a job that finds its slots full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// A whole job, by index.
     Job(usize),
     /// A host that has a job (late binding).
-    Reservation(HostId, AskId),
+    Reservation(HostId, SlotRequestId),
 }
 
 /// One upstream.
--- a/bench/tests/test_flow_cell.rs
+++ b/bench/tests/test_flow_cell.rs
@@ -6,7 +6,7 @@
 use lagoonproxy::flow_binding::FlowBinding;
 use lagoonproxy::flow_directory::FlowLookup;
 use lagoonproxy::flow_hash::FlowHasher;
-use lagoonproxy::flow_question::FlowIntent;
+use lagoonproxy::flow_query::FlowIntent;
 use lagoonproxy::ids::FlowDigest;
 use lagoonproxy::ids::HostId;
 use lagoonproxy_bench::flow_cell::FlowCell;
@@ -143,7 +143,7 @@
     fn speak(&mut self, index: usize) -> FlowLookup {
         let Some((digest, binding)) = self.opened.iter().nth(index % self.opened.len().max(1))
         else {
-            return FlowLookup::Absent;
+            return FlowLookup::NotFound;
         };
         let (digest, binding) = (*digest, *binding);
         let entry = self.any_host();
--- a/lib/src/caller_usage.rs
+++ b/lib/src/caller_usage.rs
@@ -1,10 +1,10 @@
-//! How much of a service's slots each caller used of late.
+//! Recent usage of a service's slots by caller.
 //!
-//! Load pattern: one caller sends ten times its share, or jobs that take fifty times as long, and
-//! the service is full. Places in the queue alone do not tell it from others: it has a job in the
-//! queue at any time, but so have they, and refusals hit all alike. Measured with 19 callers of 4 %
-//! each and one of 40 %, 11 % of the ordinary callers' jobs were refused. By the time that their
-//! jobs held slots, the hot one stands out, whether its jobs are many or long.
+//! When one caller of a full service sends ten times its share, or requests that take fifty times
+//! as long, its places in the queue do not distinguish it: like any other caller it always has a
+//! request in the queue, and refusals hit all callers alike. With 19 callers of 4 % each and one of
+//! 40 %, 11 % of the ordinary callers' requests were refused. The time for which its requests hold
+//! slots distinguishes a hot caller, whether its requests are many or long.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,22 +12,23 @@
 
 use crate::load_message::CallerTag;
 
-/// Callers remembered at most; a further one does not count as hot.
-const MOST_CALLERS: usize = 4_096;
-/// Time over which use is forgotten: long enough for several jobs of an ordinary caller, short
-/// enough to forgive within a minute.
-const MEMORY: Duration = Duration::from_secs(10);
-/// Multiple of an even share above which a caller is hot. At twice, chance alone made some of 100
-/// equal callers hot at almost any time.
-const HOT_MULTIPLE: f64 = 3.0;
-/// Part of all use above which one of few callers is hot, of whom none could reach the multiple.
-const HOT_PART: f64 = 0.6;
-/// Part of an even share below which a caller is forgotten.
-const FORGOTTEN_PART: f64 = 0.02;
-/// Time constants after which weights are scaled back, far below the range of `f64`.
+/// Maximum number of callers kept; a further caller does not count as hot.
+const MAX_CALLERS: usize = 4_096;
+/// Time constant of the decay: long enough for several requests of an ordinary caller, short enough
+/// that a formerly hot caller is admitted normally again within a minute.
+const DECAY_TIME: Duration = Duration::from_secs(10);
+/// Multiple of an even share above which a caller is hot. With a factor of 2, random variation made
+/// some of 100 equal callers hot at almost any time.
+const HOT_FACTOR: f64 = 3.0;
+/// Fraction of the total usage above which a caller is hot when there are so few callers that none
+/// could reach `HOT_FACTOR`.
+const HOT_FRACTION: f64 = 0.6;
+/// Fraction of an even share below which a caller is dropped.
+const FORGET_FRACTION: f64 = 0.02;
+/// Number of time constants after which weights are scaled back, far below the range of `f64`.
 const REBASE_AFTER: f64 = 20.0;
 
-/// Use by caller, with weights that grow with time (see [`crate::slot_table`]).
+/// Usage by caller, in seconds with weights that grow over time (see [`crate::slot_table`]).
 #[derive(Debug, Default)]
 pub struct CallerUsage {
     callers: HashMap<CallerTag, f64>,
@@ -38,40 +39,40 @@
 }
 
 impl CallerUsage {
-    /// Learns that a caller's job held a slot.
+    /// Records that a caller's request held a slot.
     pub fn learn(&mut self, now: Instant, caller: CallerTag, held: Duration) {
         let is_known = self.callers.contains_key(&caller);
-        if !is_known && self.callers.len() >= MOST_CALLERS {
+        if !is_known && self.callers.len() >= MAX_CALLERS {
             return;
         }
-        let use_now = held.as_secs_f64() * self.time_constants(now).exp();
+        let use_now = held.as_secs_f64() * self.elapsed_time_constants(now).exp();
         *self.callers.entry(caller).or_default() += use_now;
         self.total += use_now;
     }
 
-    /// Whether a caller used much more than an even share.
+    /// Returns whether a caller used much more than an even share.
     pub fn is_hot(&self, caller: CallerTag) -> bool {
         let Some(used) = self.callers.get(&caller) else {
             return false;
         };
-        *used > self.hot_use()
+        *used > self.hot_threshold()
     }
 
-    /// Callers that are remembered.
+    /// Returns the number of callers kept.
     pub fn callers(&self) -> usize {
         self.callers.len()
     }
 
-    /// Whether any caller used much more than an even share, as of the last sweep.
+    /// Returns whether any caller used much more than an even share at the last sweep.
     pub fn has_hot(&self) -> bool {
         self.has_hot
     }
 
-    /// Forgets callers whose use is long past; to be called now and then.
+    /// Drops callers without recent usage; called periodically.
     pub fn sweep(&mut self, now: Instant) {
-        let least = self.even_share() * FORGOTTEN_PART;
-        self.callers.retain(|_caller, used| *used >= least);
-        let scale = match self.time_constants(now) {
+        let min_use = self.even_share() * FORGET_FRACTION;
+        self.callers.retain(|_caller, used| *used >= min_use);
+        let scale = match self.elapsed_time_constants(now) {
             passed if passed < REBASE_AFTER => 1.0,
             passed => (-passed).exp(),
         };
@@ -82,15 +83,15 @@
             *used *= scale;
         }
         self.total = self.callers.values().sum();
-        let most = self.hot_use();
-        self.has_hot = self.callers.values().any(|used| *used > most);
+        let threshold = self.hot_threshold();
+        self.has_hot = self.callers.values().any(|used| *used > threshold);
     }
 
-    fn hot_use(&self) -> f64 {
-        let multiple = HOT_MULTIPLE * self.even_share();
+    fn hot_threshold(&self) -> f64 {
+        let multiple = HOT_FACTOR * self.even_share();
         match self.callers.len() {
             0 | 1 => f64::INFINITY,
-            _ => multiple.min(HOT_PART * self.total),
+            _ => multiple.min(HOT_FRACTION * self.total),
         }
     }
 
@@ -98,9 +99,9 @@
         self.total / self.callers.len().max(1) as f64
     }
 
-    fn time_constants(&mut self, now: Instant) -> f64 {
+    fn elapsed_time_constants(&mut self, now: Instant) -> f64 {
         let origin = *self.weight_origin.get_or_insert(now);
         let passed = now.saturating_duration_since(origin);
-        passed.as_secs_f64() / MEMORY.as_secs_f64()
+        passed.as_secs_f64() / DECAY_TIME.as_secs_f64()
     }
 }
--- a/lib/src/config_relay.rs
+++ b/lib/src/config_relay.rs
@@ -172,7 +172,7 @@
     }
 
     /// Takes a message of a linked peer.
-    pub fn take_message(
+    pub fn handle_message(
         &mut self,
         now: Instant,
         store: &mut ConfigStore,
--- a/lib/src/control_core.rs
+++ b/lib/src/control_core.rs
@@ -154,7 +154,7 @@
             ControlEvent::PeerDown(host) => self.link_down(now, host),
             ControlEvent::PeerMessage { host, bytes } => {
                 self.relay
-                    .take_message(now, &mut self.store, host, &bytes, actions);
+                    .handle_message(now, &mut self.store, host, &bytes, actions);
             }
             ControlEvent::PlatformAnswer {
                 call,
--- a/lib/src/expiry_system.rs
+++ b/lib/src/expiry_system.rs
@@ -1,13 +1,13 @@
-//! What a host does as time passes: overdue requests end, old records go.
+//! Time-driven work of a host: heartbeats, deadlines of requests, and removal of old records.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::host_action::HostAction;
 use crate::host_core::HostCore;
-use crate::load_policy::JobEnd;
+use crate::load_policy::AttemptOutcome;
 use crate::request_system::cancelled;
-use crate::request_system::waiting_outcome;
+use crate::request_system::outcome_before_send;
 use crate::request_table::RequestKey;
 use crate::request_table::RequestStage;
 use crate::result_code::ResultCode;
@@ -22,19 +22,19 @@
         self.policy.tick(now, &mut decisions);
         self.carry_out(now, decisions, actions);
         for key in self.requests.take_due(now) {
-            self.attend(now, key, actions);
+            self.advance_request(now, key, actions);
         }
         self.requests.expire(now);
         self.tick_flows(now, actions);
     }
 
-    /// Attends to a request in progress for which something is due.
-    fn attend(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
+    /// Processes a request in progress that is due.
+    fn advance_request(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
         let Some(record) = self.requests.get(key) else {
             return;
         };
         if record.deadline <= now {
-            return self.end_overdue(now, key, actions);
+            return self.expire_request(now, key, actions);
         }
         match &record.stage {
             RequestStage::Deciding(_) => self.decide(now, key, actions),
@@ -44,7 +44,7 @@
                     .is_some_and(|deadline| deadline <= now)
                 {
                     let refusal = cancelled(key.request, RunOutcome::Unknown);
-                    self.give_up_attempt(now, key, refusal, JobEnd::Cancelled, actions);
+                    self.abandon_attempt(now, key, refusal, AttemptOutcome::Cancelled, actions);
                 }
             }
             RequestStage::HeldBy(_)
@@ -55,7 +55,7 @@
         }
     }
 
-    fn end_overdue(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
+    fn expire_request(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
         let Some(record) = self.requests.get(key) else {
             return;
         };
@@ -67,24 +67,24 @@
         };
         match record.stage {
             RequestStage::Waiting => {
-                refusal.outcome = waiting_outcome(record);
+                refusal.outcome = outcome_before_send(record);
                 self.refuse_request(key, refusal, actions);
                 self.withdraw_job(now, key, actions);
             }
             RequestStage::Running(_) => {
-                self.give_up_attempt(now, key, refusal, JobEnd::Lost, actions);
+                self.abandon_attempt(now, key, refusal, AttemptOutcome::Lost, actions);
             }
             _ => self.refuse_request(key, refusal, actions),
         }
     }
 
     /// Stops waiting for an attempt that may have run or may still run.
-    fn give_up_attempt(
+    fn abandon_attempt(
         &mut self,
         now: Instant,
         key: RequestKey,
         refusal: RefusalBody,
-        end: JobEnd,
+        end: AttemptOutcome,
         actions: &mut Vec<HostAction>,
     ) {
         self.refuse_request(key, refusal, actions);
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -1,145 +1,145 @@
-//! Asks that wait for a slot: in order of arrival, with a fair share of the places a caller.
+//! Queue of slot requests in order of arrival, with a fair share of its places for each caller.
 //!
-//! Load pattern: one caller sends ten times its share. In a plain queue its jobs would hold most
-//! places and everyone would wait for them. Here a caller holds at most twice an even share of the
-//! places that the queue has at present, so that a hot caller's further jobs are refused and
-//! everyone else's find room. Order stays that of arrival: with start-time fair queueing,
-//! newcomers overtake in an overload by many equal callers until most of those queued miss their deadline
-//! (docs/design/dispatch.md).
+//! When one caller sends ten times its share, its requests would fill a plain queue and delay all
+//! others. Here a caller holds at most twice an even share of the current places, so that a hot
+//! caller's further requests are rejected and those of others find room. The order remains that of
+//! arrival: with start-time fair queueing, new requests overtake during an overload by many equal
+//! callers until most of the queued ones miss their deadline (docs/design/dispatch.md).
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use crate::ids::HostId;
 use crate::ids::UpstreamId;
-use crate::load_message::AskId;
 use crate::load_message::CallerTag;
+use crate::load_message::SlotRequestId;
 use crate::standing_queue::StandingQueue;
 
-/// Multiple of an even share of the places that one caller may hold: room for chance.
-const SHARE_MULTIPLE: usize = 2;
-/// Places that any caller may hold, however many others wait.
-const LEAST_SHARE: usize = 4;
+/// Places that one caller may hold, as a multiple of an even share; leaves room for random
+/// variation.
+const SHARE_FACTOR: usize = 2;
+/// Minimum number of places that any caller may hold, regardless of the number of other callers.
+const MIN_SHARE: usize = 4;
 
-/// Identity of an ask at a keeper.
+/// Identifies a slot request at an allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AskHolder {
-    /// The host that asks.
+pub struct SlotRequestKey {
+    /// Host that sent the slot request.
     pub host: HostId,
-    /// Its number for the ask.
-    pub ask: AskId,
+    /// Number of the slot request at that host.
+    pub slot_request: SlotRequestId,
 }
 
-/// An ask as its keeper knows it.
+/// Slot request at an allocator.
 #[derive(Clone, Debug)]
-pub struct PoolAsk {
-    /// Who asks.
-    pub holder: AskHolder,
-    /// The caller it is for.
+pub struct PoolRequest {
+    /// Identity of the slot request.
+    pub request_key: SlotRequestKey,
+    /// Caller that the slot is for.
     pub caller: CallerTag,
-    /// The one upstream that will do, if not any.
+    /// Upstream that the slot must belong to; `None` if any upstream will do.
     pub upstream: Option<UpstreamId>,
-    /// When the job arrived.
+    /// When the request arrived.
     pub since: Instant,
     /// When its caller stops waiting.
     pub deadline: Instant,
-    /// Whether the asker is itself a keeper, whose own slots are all in use.
+    /// Whether the sender is itself an allocator whose own slots are all in use.
     pub spill: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     since: Instant,
-    holder: AskHolder,
+    request_key: SlotRequestKey,
 }
 
-/// The asks that wait, oldest first.
+/// Waiting slot requests, oldest first.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    asks: BTreeMap<QueueKey, PoolAsk>,
-    keys: BTreeMap<AskHolder, QueueKey>,
-    /// Asks in the queue by caller; no entry is zero.
+    requests: BTreeMap<QueueKey, PoolRequest>,
+    keys: BTreeMap<SlotRequestKey, QueueKey>,
+    /// Number of queued slot requests by caller. Invariant: no entry is zero.
     callers: BTreeMap<CallerTag, usize>,
     standing: StandingQueue,
 }
 
 impl FairQueue {
-    /// Adds an ask.
-    pub fn push(&mut self, ask: PoolAsk) {
+    /// Adds a slot request.
+    pub fn push(&mut self, request: PoolRequest) {
         let key = QueueKey {
-            since: ask.since,
-            holder: ask.holder,
+            since: request.since,
+            request_key: request.request_key,
         };
-        *self.callers.entry(ask.caller).or_default() += 1;
-        self.keys.insert(ask.holder, key);
-        self.asks.insert(key, ask);
+        *self.callers.entry(request.caller).or_default() += 1;
+        self.keys.insert(request.request_key, key);
+        self.requests.insert(key, request);
     }
 
-    /// The ask to be served next.
-    pub fn first(&self) -> Option<&PoolAsk> {
-        self.asks.values().next()
+    /// Returns the oldest slot request.
+    pub fn first(&self) -> Option<&PoolRequest> {
+        self.requests.values().next()
     }
 
-    /// Takes the ask to be served next.
-    pub fn pop(&mut self) -> Option<PoolAsk> {
-        let (_key, ask) = self.asks.pop_first()?;
-        self.keys.remove(&ask.holder);
-        self.leave(ask.caller);
-        Some(ask)
+    /// Removes and returns the oldest slot request.
+    pub fn pop(&mut self) -> Option<PoolRequest> {
+        let (_key, request) = self.requests.pop_first()?;
+        self.keys.remove(&request.request_key);
+        self.release_place(request.caller);
+        Some(request)
     }
 
-    /// Whether the queue stands.
+    /// Returns the detector of a standing queue.
     pub fn standing(&self) -> &StandingQueue {
         &self.standing
     }
 
-    /// Whether the queue stands, to be told of waits.
+    /// Returns the detector of a standing queue, to record waits.
     pub fn standing_mut(&mut self) -> &mut StandingQueue {
         &mut self.standing
     }
 
-    /// Removes an ask that is no longer wanted.
-    pub fn remove(&mut self, holder: AskHolder) -> Option<PoolAsk> {
-        let key = self.keys.remove(&holder)?;
-        let ask = self.asks.remove(&key)?;
-        self.leave(ask.caller);
-        Some(ask)
+    /// Removes a slot request that is no longer needed.
+    pub fn remove(&mut self, request_key: SlotRequestKey) -> Option<PoolRequest> {
+        let key = self.keys.remove(&request_key)?;
+        let request = self.requests.remove(&key)?;
+        self.release_place(request.caller);
+        Some(request)
     }
 
-    /// Whether an ask waits here.
-    pub fn contains(&self, holder: AskHolder) -> bool {
-        self.keys.contains_key(&holder)
+    /// Returns whether a slot request is queued.
+    pub fn contains(&self, request_key: SlotRequestKey) -> bool {
+        self.keys.contains_key(&request_key)
     }
 
-    /// Whether a caller holds its whole share of `places`.
+    /// Returns whether a caller holds its whole share of `places`.
     pub fn is_share_full(&self, caller: CallerTag, places: usize) -> bool {
         let Some(held) = self.callers.get(&caller) else {
             return false;
         };
-        let even = places / self.callers.len().max(1);
-        *held >= (even * SHARE_MULTIPLE).max(LEAST_SHARE)
+        let even_share = places / self.callers.len().max(1);
+        *held >= (even_share * SHARE_FACTOR).max(MIN_SHARE)
     }
 
-    /// Asks that cannot be served in time any more, in the order of the queue.
-    pub fn hopeless(&self, latest: Instant) -> Vec<AskHolder> {
-        self.asks
+    /// Returns the slot requests with a deadline up to `latest`, in the order of the queue.
+    pub fn late_requests(&self, latest: Instant) -> Vec<SlotRequestKey> {
+        self.requests
             .values()
-            .filter(|ask| ask.deadline <= latest)
-            .map(|ask| ask.holder)
+            .filter(|request| request.deadline <= latest)
+            .map(|request| request.request_key)
             .collect()
     }
 
-    /// How many asks wait.
+    /// Returns the number of queued slot requests.
     pub fn len(&self) -> usize {
-        self.asks.len()
+        self.requests.len()
     }
 
-    /// Whether no ask waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.asks.is_empty()
+        self.requests.is_empty()
     }
 
-    fn leave(&mut self, caller: CallerTag) {
+    fn release_place(&mut self, caller: CallerTag) {
         if let Some(held) = self.callers.get_mut(&caller) {
             *held -= 1;
             if *held == 0 {
--- a/lib/src/flow_binding.rs
+++ b/lib/src/flow_binding.rs
@@ -1,7 +1,7 @@
-//! Which upstream process a flow lives on, stored once for all flows that share it.
+//! Interned bindings of flows to upstream processes.
 //!
-//! Hundreds of thousands of flows live on a few upstreams; a flow's record holds four bytes that
-//! name its binding, and the binding counts its flows.
+//! Hundreds of thousands of flows share a few upstreams. A flow's record holds a four-byte index of
+//! its binding, and each binding counts its flows.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,19 @@
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 
-/// Position of a binding in its table.
+/// Index of a binding in its table.
 pub type BindingIndex = u32;
 
-/// One upstream process, for the flows of one service.
+/// An upstream process bound to flows of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowBinding {
-    /// The service the flows were opened for; a frame for another service never reaches them.
+    /// The service for which the flows were opened. Frames for another service are never sent on
+    /// them.
     pub service: ServiceId,
-    /// The upstream that holds the flows until they close or it goes.
+    /// The upstream that holds the flows until they close or it is removed.
     pub upstream: UpstreamId,
-    /// The upstream's incarnation when they were opened; another one does not know them.
+    /// The upstream's generation when the flows were opened. Another generation has no state of
+    /// them.
     pub incarnation: Incarnation,
 }
 
@@ -29,7 +31,7 @@
     flows: u32,
 }
 
-/// The bindings of one flow table. Invariant: `index` holds exactly the entries with flows.
+/// The bindings of one flow table. Invariant: `index` contains exactly the entries that have flows.
 #[derive(Clone, Debug, Default)]
 pub struct BindingTable {
     entries: Vec<BindingEntry>,
@@ -39,7 +41,7 @@
 }
 
 impl BindingTable {
-    /// Counts one more flow on a binding, which is made if it is new.
+    /// Adds a flow to a binding, creating the binding if necessary, and returns its index.
     pub fn acquire(&mut self, binding: FlowBinding) -> BindingIndex {
         *self.service_flows.entry(binding.service).or_default() += 1;
         if let Some(index) = self.index.get(&binding) {
@@ -61,7 +63,7 @@
         index
     }
 
-    /// Counts one flow less on a binding, which goes with its last flow.
+    /// Removes a flow from a binding, and the binding with its last flow.
     pub fn release(&mut self, index: BindingIndex) {
         let entry = &mut self.entries[index as usize];
         entry.flows -= 1;
@@ -74,18 +76,18 @@
         }
     }
 
-    /// The binding at a position that [`Self::acquire`] returned.
+    /// Returns the binding for an index that [`Self::acquire`] returned.
     pub fn get(&self, index: BindingIndex) -> FlowBinding {
         self.entries[index as usize].binding
     }
 
-    /// How many flows a binding has.
+    /// Returns the number of flows of a binding.
     pub fn flows(&self, binding: FlowBinding) -> u32 {
         let index = self.index.get(&binding);
         index.map_or(0, |index| self.entries[*index as usize].flows)
     }
 
-    /// How many flows a service has.
+    /// Returns the number of flows of a service.
     pub fn service_flows(&self, service: ServiceId) -> u32 {
         self.service_flows.get(&service).copied().unwrap_or(0)
     }
--- a/lib/src/flow_directory.rs
+++ b/lib/src/flow_directory.rs
@@ -1,23 +1,25 @@
-//! Where each flow lives, decided alike by the hosts of a cell without copying every record.
+//! The flows of one host, and which upstream each flow of the ownership group is bound to.
 //!
-//! A flow that lives where its service's placement table says needs no copy: whoever takes it over
-//! derives its upstream from the former owner's baseline. Only exceptions are copied to the host
-//! that would take them over, and what remains in doubt is asked of the hosts that may know.
+//! A flow on the upstream that its service's placement table gives needs no copy: the host that
+//! takes it over derives the upstream from the previous owner's baseline, the list of tables that
+//! the owner's flows follow. Only exceptions, flows on another upstream, are copied to the host
+//! that would take them over. What remains uncertain is queried from the hosts that may hold the
+//! flow.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::baseline_book::BaselineBook;
+use crate::baseline_table::BaselineTable;
 use crate::config_snapshot::ConfigSnapshot;
 use crate::flow_binding::FlowBinding;
-use crate::flow_derivation::FlowJudgement;
+use crate::flow_derivation::MissDecision;
 use crate::flow_handover::CopyUrgency;
 use crate::flow_handover::FlowHandover;
 use crate::flow_message::FlowMessage;
 use crate::flow_message::FlowParties;
-use crate::flow_question::FlowIntent;
-use crate::flow_question::QuestionTable;
+use crate::flow_query::FlowIntent;
+use crate::flow_query::QueryTable;
 use crate::flow_sweep::SweepState;
 use crate::flow_table::FlowRecord;
 use crate::flow_table::FlowTable;
@@ -32,118 +34,121 @@
 use crate::upstream_addresses::UpstreamAddresses;
 use crate::upstream_addresses::UpstreamReach;
 
-/// How long after a change of owners a copy of an `Open` may still arrive that the former owner has
-/// answered: the callers' retransmissions and the lag between hosts.
-const OPEN_DOUBT: Duration = Duration::from_secs(10);
-/// Bytes a second for copies and baselines, of the few kilobytes that a host may use for control.
-const COPY_RATE: u32 = 2_048;
-/// When a host that has not replied is greeted again.
-const GREET_AGAIN: Duration = Duration::from_millis(500);
-/// How many hosts are asked at first; the former and the next owner are nearly always among them.
-const FIRST_ASKED: usize = 2;
-/// Largest share of a service's flows on one upstream, in percent of the mean, for flows opened
-/// here; a flow beyond it is placed elsewhere and becomes an exception.
-const LOAD_BOUND: u64 = 105;
-/// Flows beyond the bound that are no imbalance: with few flows the bound would place nearly every
-/// one as an exception.
-const LOAD_SLACK: u64 = 4;
-
-/// What a directory is made with.
+/// Time after a change of owners in which a retransmitted `Open` may arrive that the previous owner
+/// has answered. It covers the callers' retransmissions and the lag between hosts.
+const OPEN_AMBIGUITY_PERIOD: Duration = Duration::from_secs(10);
+/// Bytes per second for copies and baselines; a host has a few kilobytes per second for control
+/// traffic.
+const COPY_BYTES_PER_SECOND: u32 = 2_048;
+/// Interval at which `Hello` is sent again to a host that has not replied.
+const HELLO_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of hosts queried first. The previous and the next owner are nearly always among them.
+const FIRST_QUERIED_HOSTS: usize = 2;
+/// Maximum load of one upstream, in percent of the mean number of a service's flows per upstream,
+/// for flows opened on this host. A flow above it is placed on another upstream and becomes an
+/// exception.
+const MAX_LOAD_PERCENT: u64 = 105;
+/// Flows allowed above the limit. With few flows, the percentage alone would make nearly every one
+/// an exception.
+const LOAD_SLACK_FLOWS: u64 = 4;
+
+/// Settings of a flow directory.
 #[derive(Clone, Debug)]
 pub struct DirectorySettings {
-    /// The host.
+    /// The host that owns the directory.
     pub host: HostId,
-    /// Grows with each start of its process.
+    /// Generation of the host's process; each start has a larger one.
     pub incarnation: Incarnation,
-    /// How long a silent flow is kept.
+    /// Time after which an idle flow is removed.
     pub flow_idle: Duration,
-    /// Bytes a second that copies and baselines may take.
+    /// Maximum bytes per second for copies and baselines.
     pub copy_rate: u32,
-    /// Bytes of them at once.
+    /// Maximum bytes of copies and baselines sent at once.
     pub copy_burst: u32,
 }
 
 impl DirectorySettings {
-    /// Settings with the usual bounds for copies.
+    /// Returns settings with the default limits for copies.
     pub fn new(host: HostId, incarnation: Incarnation, flow_idle: Duration) -> Self {
         Self {
             host,
             incarnation,
             flow_idle,
-            copy_rate: COPY_RATE,
-            copy_burst: COPY_RATE,
+            copy_rate: COPY_BYTES_PER_SECOND,
+            copy_burst: COPY_BYTES_PER_SECOND,
         }
     }
 }
 
-/// What is known of a flow.
+/// Result of looking a flow up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowLookup {
-    /// It lives here.
+    /// The flow is bound to this upstream process.
     Found(FlowBinding),
-    /// Other hosts are asked; [`FlowOrder::Settled`] follows.
-    Asking,
-    /// It is not established, or nobody knows where.
-    Absent,
-    /// Too many questions are open, or those asked are silent; it may be settled later.
-    Unsure,
+    /// Other hosts are being queried; [`FlowCommand::Settled`] follows.
+    Querying,
+    /// The flow is not established, or no host knows its upstream.
+    NotFound,
+    /// Too many queries are open, or the queried hosts are silent. A later lookup may succeed.
+    Undetermined,
 }
 
-/// What a directory wants done.
+/// A command of the directory to the host core.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FlowOrder {
+pub enum FlowCommand {
     /// Send a message to a peer.
     Tell {
-        /// The peer.
+        /// The receiver.
         host: HostId,
-        /// Which processes it is between.
+        /// The generations of the sending and receiving process.
         parties: FlowParties,
         /// The message.
         message: FlowMessage,
     },
-    /// A question has ended; it is never [`FlowLookup::Asking`].
+    /// A query has ended.
     Settled {
         /// The flow.
         digest: FlowDigest,
-        /// What is known now.
+        /// The result, never [`FlowLookup::Querying`].
         lookup: FlowLookup,
     },
 }
 
-/// The flows of one host and what it knows of others'.
+/// The flows of one host and its state about the flows of other hosts.
 pub struct FlowDirectory {
     pub(crate) settings: DirectorySettings,
     pub(crate) view: OwnerView,
-    /// The flows that this host serves, or served until their owner changed.
+    /// Flows that this host serves, or served until their owner changed.
     pub(crate) flows: FlowTable,
-    /// Exceptions that other hosts have copied here.
+    /// Exceptions that other hosts have copied to this host.
     pub(crate) copies: FlowTable,
     pub(crate) tables: TableHistory,
     pub(crate) addresses: UpstreamAddresses,
-    pub(crate) book: BaselineBook,
+    pub(crate) baselines: BaselineTable,
     pub(crate) handover: FlowHandover,
     pub(crate) sweep: SweepState,
-    pub(crate) questions: QuestionTable,
-    /// Until when an `Open` may be a copy of one that a former owner has answered.
-    pub(crate) open_doubt_deadline: Option<Instant>,
+    pub(crate) queries: QueryTable,
+    /// Time until which an `Open` may be a retransmission that a previous owner has answered.
+    pub(crate) open_ambiguity_deadline: Option<Instant>,
     pub(crate) renew_deadline: Option<Instant>,
-    /// The reachable hosts that know what this process has not been told.
-    pub(crate) greeted: BTreeSet<HostId>,
-    greet_deadline: Option<Instant>,
-    /// The peers that have said that there are tables they have yet to tell this host of.
-    pub(crate) unheard: BTreeSet<HostId>,
-    /// Tables that peers follow and this host has never seen.
-    pub(crate) wanted: BTreeSet<(ServiceId, TableId)>,
-    /// The hosts that owned this one's flows before it joined, in ascending order.
-    pub(crate) elders: Vec<HostId>,
-    /// Until when hosts that it meets are elders.
-    pub(crate) meeting_deadline: Option<Instant>,
-    /// When the last flow that it took over by joining, and never heard of, is idle.
+    /// Reachable hosts that have answered `Hello`, and therefore know that this process has lost
+    /// what they sent before.
+    pub(crate) hello_acked: BTreeSet<HostId>,
+    hello_deadline: Option<Instant>,
+    /// Peers that have reported tables which they have not announced to this host yet.
+    pub(crate) peers_with_pending_tables: BTreeSet<HostId>,
+    /// Tables that peers follow and this host does not have.
+    pub(crate) missing_tables: BTreeSet<(ServiceId, TableId)>,
+    /// Hosts that owned this host's flows before it joined, in ascending order.
+    pub(crate) previous_owners: Vec<HostId>,
+    /// Time until which newly seen hosts count as previous owners.
+    pub(crate) join_deadline: Option<Instant>,
+    /// Time at which the last flow taken over by joining expires if no frame of it arrives.
     pub(crate) inherited_deadline: Option<Instant>,
 }
 
 impl FlowDirectory {
-    /// Makes an empty one.
+    /// Creates an empty directory.
     pub fn new(settings: DirectorySettings) -> Self {
         let handover = FlowHandover::new(settings.copy_rate, settings.copy_burst);
         Self {
@@ -156,23 +161,23 @@
             copies: FlowTable::default(),
             tables: TableHistory::default(),
             addresses: UpstreamAddresses::default(),
-            book: BaselineBook::default(),
+            baselines: BaselineTable::default(),
             handover,
             sweep: SweepState::default(),
-            questions: QuestionTable::default(),
-            open_doubt_deadline: None,
+            queries: QueryTable::default(),
+            open_ambiguity_deadline: None,
             renew_deadline: None,
-            greeted: BTreeSet::new(),
-            greet_deadline: None,
-            unheard: BTreeSet::new(),
-            wanted: BTreeSet::new(),
-            elders: Vec::new(),
-            meeting_deadline: None,
+            hello_acked: BTreeSet::new(),
+            hello_deadline: None,
+            peers_with_pending_tables: BTreeSet::new(),
+            missing_tables: BTreeSet::new(),
+            previous_owners: Vec::new(),
+            join_deadline: None,
             inherited_deadline: None,
         }
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn configure(&mut self, config: &ConfigSnapshot) {
         if !self.tables.configure(config).is_empty() {
             self.sweep.restart();
@@ -180,200 +185,210 @@
         self.addresses.configure(config);
     }
 
-    /// Puts a view of the cell in force.
-    pub fn set_view(&mut self, now: Instant, view: OwnerView, orders: &mut Vec<FlowOrder>) {
+    /// Applies a view of the ownership group.
+    pub fn set_view(&mut self, now: Instant, view: OwnerView, commands: &mut Vec<FlowCommand>) {
         if view == self.view {
             return;
         }
-        let former = std::mem::replace(&mut self.view, view);
-        self.start_meeting(now);
-        if former.eligible != self.view.eligible {
-            self.open_doubt_deadline = Some(now + OPEN_DOUBT);
+        let previous = std::mem::replace(&mut self.view, view);
+        self.start_join_period(now);
+        if previous.eligible != self.view.eligible {
+            self.open_ambiguity_deadline = Some(now + OPEN_AMBIGUITY_PERIOD);
         }
-        for host in &former.reachable {
+        for host in &previous.reachable {
             if self.view.reachable.binary_search(host).is_err() {
-                self.lose_peer(now, *host, orders);
+                self.handle_peer_loss(now, *host, commands);
             }
         }
-        self.greet_deadline = None;
-        self.greet(now, orders);
+        self.hello_deadline = None;
+        self.send_hellos(now, commands);
         self.sweep.restart();
     }
 
-    /// Tells hosts that have not replied yet that this one has forgotten what they told it, and asks
-    /// those that had more to say whether they have said it.
-    pub(crate) fn greet(&mut self, now: Instant, orders: &mut Vec<FlowOrder>) {
-        if self.greet_deadline.is_some_and(|deadline| now < deadline) {
+    /// Sends `Hello` to hosts that have not replied to it, which tells them that this process has
+    /// lost what they sent before. Asks peers with unannounced tables for their current state.
+    pub(crate) fn send_hellos(&mut self, now: Instant, commands: &mut Vec<FlowCommand>) {
+        if self.hello_deadline.is_some_and(|deadline| now < deadline) {
             return;
         }
-        self.greet_deadline = Some(now + GREET_AGAIN);
+        self.hello_deadline = Some(now + HELLO_INTERVAL);
         for host in &self.view.reachable {
-            if !self.greeted.contains(host) {
-                self.tell(*host, FlowMessage::Hello, orders);
-            } else if self.unheard.contains(host) {
-                // An empty message is confirmed like any other, with whether all is said by now.
+            if !self.hello_acked.contains(host) {
+                self.send_message(*host, FlowMessage::Hello, commands);
+            } else if self.peers_with_pending_tables.contains(host) {
+                // An empty message is confirmed like any other, and the confirmation reports
+                // whether tables are pending.
                 let message = FlowMessage::Baselines {
                     sequence: 0,
                     tables: Vec::new(),
                 };
-                self.tell(*host, message, orders);
+                self.send_message(*host, message, commands);
             }
         }
-        self.want_tables(orders);
+        self.request_missing_tables(commands);
     }
 
-    /// Remembers whose flows this host takes over by joining.
+    /// Records a host whose flows this host takes over by joining.
     ///
-    /// Such a flow may stay silent for an hour while the tables change and its former owner, which
-    /// has been told that this host derives it, forgets it. Only what the former owner said when
-    /// this host joined still tells where it lives.
-    pub(crate) fn meet_elder(&mut self, now: Instant, host: HostId) {
-        let is_new = self.meeting_deadline.is_some_and(|end| now < end);
-        if let Err(index) = self.elders.binary_search(&host)
+    /// Such a flow may be idle for an hour. Meanwhile the tables change, and its previous owner
+    /// removes it because it was told that this host derives it. After that, only the baseline that
+    /// the previous owner announced when this host joined determines the flow's upstream.
+    pub(crate) fn record_previous_owner(&mut self, now: Instant, host: HostId) {
+        let is_new = self.join_deadline.is_some_and(|end| now < end);
+        if let Err(index) = self.previous_owners.binary_search(&host)
             && is_new
         {
-            self.elders.insert(index, host);
+            self.previous_owners.insert(index, host);
         }
     }
 
-    fn start_meeting(&mut self, now: Instant) {
-        self.meeting_deadline.get_or_insert(now + OPEN_DOUBT);
+    fn start_join_period(&mut self, now: Instant) {
+        self.join_deadline
+            .get_or_insert(now + OPEN_AMBIGUITY_PERIOD);
         let inherited = self
             .inherited_deadline
             .get_or_insert(now + self.settings.flow_idle);
         if *inherited <= now {
-            self.elders.clear();
+            self.previous_owners.clear();
         }
     }
 
-    /// Where a flow lives, after moving its idle deadline.
+    /// Looks a flow up and extends its idle deadline. Opens a query if other hosts may hold the
+    /// flow.
     pub fn lookup(
         &mut self,
         now: Instant,
         digest: FlowDigest,
         service: ServiceId,
         intent: FlowIntent,
-        orders: &mut Vec<FlowOrder>,
+        commands: &mut Vec<FlowCommand>,
     ) -> FlowLookup {
-        if let Some(record) = self.held(now, digest) {
+        if let Some(record) = self.touch_or_promote(now, digest) {
             return FlowLookup::Found(record.binding);
         }
-        if self.questions.contains(digest) {
-            return FlowLookup::Asking;
+        if self.queries.contains(digest) {
+            return FlowLookup::Querying;
         }
-        match self.judge(now, digest, service, intent) {
-            FlowJudgement::Place => self.place(now, digest, service),
-            FlowJudgement::Derive(binding) => self.adopt(now, digest, binding),
-            FlowJudgement::Nowhere => FlowLookup::Absent,
-            FlowJudgement::Ask(_hosts) if self.questions.is_full() => FlowLookup::Unsure,
-            FlowJudgement::Ask(mut hosts) => {
-                let later = hosts.split_off(hosts.len().min(FIRST_ASKED));
-                let later = match intent {
+        match self.decide_miss(now, digest, service, intent) {
+            MissDecision::PlaceNew => self.place(now, digest, service),
+            MissDecision::Derive(binding) => self.bind_flow(now, digest, binding),
+            MissDecision::NotFound => FlowLookup::NotFound,
+            MissDecision::Query(_hosts) if self.queries.is_full() => FlowLookup::Undetermined,
+            MissDecision::Query(mut hosts) => {
+                let fallback_hosts = hosts.split_off(hosts.len().min(FIRST_QUERIED_HOSTS));
+                let fallback_hosts = match intent {
                     FlowIntent::Open => Vec::new(),
-                    FlowIntent::Established => later,
+                    FlowIntent::Established => fallback_hosts,
                 };
-                self.questions
-                    .open(now, digest, service, intent, &hosts, &later);
-                self.ask(digest, service, intent, &hosts, orders);
-                FlowLookup::Asking
+                self.queries
+                    .open(now, digest, service, intent, &hosts, &fallback_hosts);
+                self.send_query(digest, service, intent, &hosts, commands);
+                FlowLookup::Querying
             }
         }
     }
 
-    /// Whether this host has a record of a flow, without asking or touching anything.
+    /// Returns this host's record of a flow, without a query or any change of state.
     pub fn peek(&self, now: Instant, digest: FlowDigest) -> Option<FlowRecord> {
         let own = self.flows.get(now, digest);
         own.or_else(|| self.copies.get(now, digest))
     }
 
-    /// Whether a frame of an opened flow would have to wait for other hosts' answers.
-    pub fn is_in_doubt(&self, now: Instant, digest: FlowDigest, service: ServiceId) -> bool {
+    /// Returns whether a frame of an established flow would have to wait for replies of other
+    /// hosts.
+    pub fn needs_query(&self, now: Instant, digest: FlowDigest, service: ServiceId) -> bool {
         let intent = FlowIntent::Established;
         self.peek(now, digest).is_none()
             && matches!(
-                self.judge(now, digest, service, intent),
-                FlowJudgement::Ask(_)
+                self.decide_miss(now, digest, service, intent),
+                MissDecision::Query(_)
             )
     }
 
-    /// Ends a flow and returns where it lived.
+    /// Removes a flow and returns its binding.
     pub fn close(&mut self, digest: FlowDigest) -> Option<FlowBinding> {
         let copy = self.copies.remove(digest);
         let record = self.flows.remove(digest).or(copy)?;
         Some(record.binding)
     }
 
-    /// Where frames of a binding's flows go.
+    /// Returns the address to which frames of a binding's flows are sent.
     pub fn reach(&self, binding: FlowBinding) -> UpstreamReach {
         self.process_reach(binding.upstream, binding.incarnation)
     }
 
-    /// Where an upstream process is reached.
+    /// Returns the address at which an upstream process is reached.
     pub fn process_reach(&self, upstream: UpstreamId, incarnation: Incarnation) -> UpstreamReach {
         self.addresses.reach(upstream, incarnation)
     }
 
-    /// Where a flow that this host has a record of lives, overdue or not.
+    /// Returns the binding of a flow that this host has a record of, expired or not.
     pub fn binding(&self, digest: FlowDigest) -> Option<FlowBinding> {
         self.flows.binding(digest)
     }
 
-    /// How many flows are held, copies not included.
+    /// Returns the number of flows, without copies.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether no flow is held.
+    /// Returns whether there are no flows, apart from copies.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// How many exceptions of other hosts are held for them.
+    /// Returns the number of copies held for other hosts.
     pub fn copies(&self) -> usize {
         self.copies.len()
     }
 
-    /// Whether every flow held here can be taken over without this host.
+    /// Returns whether every flow of this host can be taken over without contacting it.
     pub fn is_handed_over(&self) -> bool {
         let alone = self
             .view
             .eligible
             .iter()
             .all(|host| *host == self.view.host);
-        let has_heard_all = self
+        let has_all_tables = self
             .view
             .reachable
             .iter()
-            .all(|host| !self.unheard.contains(host));
-        alone || (self.sweep.is_clean() && self.handover.is_idle() && has_heard_all)
+            .all(|host| !self.peers_with_pending_tables.contains(host));
+        alone || (self.sweep.is_clean() && self.handover.is_idle() && has_all_tables)
     }
 
-    pub(crate) fn held(&mut self, now: Instant, digest: FlowDigest) -> Option<FlowRecord> {
+    pub(crate) fn touch_or_promote(
+        &mut self,
+        now: Instant,
+        digest: FlowDigest,
+    ) -> Option<FlowRecord> {
         let deadline = now + self.settings.flow_idle;
         if let Some(record) = self.flows.touch(now, digest, deadline) {
             return Some(record);
         }
         let copy = self.copies.get(now, digest)?;
         self.copies.remove(digest);
-        self.hold(now, digest, copy.binding);
+        self.store_flow(now, digest, copy.binding);
         Some(copy)
     }
 
-    /// Holds a flow from now on, and has it copied if its heir could not derive it.
-    pub(crate) fn hold(&mut self, now: Instant, digest: FlowDigest, binding: FlowBinding) {
+    /// Stores a flow of this host and queues a copy if its successor could not derive it.
+    pub(crate) fn store_flow(&mut self, now: Instant, digest: FlowDigest, binding: FlowBinding) {
         let record = FlowRecord {
             binding,
             idle_deadline: now + self.settings.flow_idle,
         };
         self.flows.insert(now, digest, record);
-        if let Some(heir) = self.view.heir(digest)
-            && !self.heir_derives(heir, digest, binding)
+        if let Some(successor) = self.view.successor(digest)
+            && !self.successor_derives(successor, digest, binding)
         {
-            self.handover.copy(heir, digest, CopyUrgency::Now);
+            self.handover
+                .queue_copy(successor, digest, CopyUrgency::Urgent);
         }
     }
 
-    /// Places a new flow by the table in force, elsewhere if that upstream has too many already.
+    /// Places a new flow by the table in force, or on another upstream if that one is above the
+    /// load limit.
     pub(crate) fn place(
         &mut self,
         now: Instant,
@@ -381,75 +396,81 @@
         service: ServiceId,
     ) -> FlowLookup {
         let Some(table) = self.tables.newest(service) else {
-            return FlowLookup::Absent;
+            return FlowLookup::NotFound;
         };
         let members = table.members().len() as u64;
         let flows = u64::from(self.flows.service_flows(service)) + 1;
-        let bound = (flows * LOAD_BOUND).div_ceil(100 * members.max(1)) + LOAD_SLACK;
-        let has_room = |binding: FlowBinding| u64::from(self.flows.flows_on(binding)) < bound;
+        let bound = (flows * MAX_LOAD_PERCENT).div_ceil(100 * members.max(1)) + LOAD_SLACK_FLOWS;
+        let is_below_limit = |binding: FlowBinding| u64::from(self.flows.flows_on(binding)) < bound;
         let preferred = table.place(digest);
-        let chosen = preferred.filter(|binding| has_room(*binding)).or_else(|| {
-            table.place_where(digest, |member| {
-                has_room(FlowBinding {
-                    service,
-                    upstream: member.upstream,
-                    incarnation: member.incarnation,
+        let chosen = preferred
+            .filter(|binding| is_below_limit(*binding))
+            .or_else(|| {
+                table.place_where(digest, |member| {
+                    is_below_limit(FlowBinding {
+                        service,
+                        upstream: member.upstream,
+                        incarnation: member.incarnation,
+                    })
                 })
-            })
-        });
+            });
         match chosen.or(preferred) {
-            Some(binding) => self.adopt(now, digest, binding),
-            None => FlowLookup::Absent,
+            Some(binding) => self.bind_flow(now, digest, binding),
+            None => FlowLookup::NotFound,
         }
     }
 
-    pub(crate) fn adopt(
+    pub(crate) fn bind_flow(
         &mut self,
         now: Instant,
         digest: FlowDigest,
         binding: FlowBinding,
     ) -> FlowLookup {
-        self.hold(now, digest, binding);
+        self.store_flow(now, digest, binding);
         FlowLookup::Found(binding)
     }
 
-    /// Keeps what a peer said for the flows it leaves behind.
-    pub(crate) fn bury(&mut self, now: Instant, host: HostId) {
+    /// Retains the baselines of a peer for the flows that it leaves behind.
+    pub(crate) fn retire_baselines(&mut self, now: Instant, host: HostId) {
         let services: Vec<ServiceId> = self.tables.services().collect();
-        let informed: BTreeSet<ServiceId> = services
+        let knew_all_tables: BTreeSet<ServiceId> = services
             .into_iter()
-            .filter(|service| self.is_told(host, *service))
+            .filter(|service| self.knows_all_tables(host, *service))
             .collect();
         let deadline = now + self.settings.flow_idle;
-        self.book
-            .bury(host, deadline, |service| informed.contains(&service));
+        self.baselines
+            .retire_baselines(host, deadline, |service| knew_all_tables.contains(&service));
     }
 
-    /// Whether a peer knows every table that flows held here may follow, by this host's word or
-    /// because it follows the table itself.
-    fn is_told(&self, host: HostId, service: ServiceId) -> bool {
-        let told = self.handover.told(host, service).unwrap_or_default();
-        let present = self.book.present(host, service).unwrap_or_default();
+    /// Returns whether a peer knows every table that flows held here may follow, because this host
+    /// announced the table or because the peer follows it itself.
+    fn knows_all_tables(&self, host: HostId, service: ServiceId) -> bool {
+        let confirmed_tables = self
+            .handover
+            .confirmed_tables(host, service)
+            .unwrap_or_default();
+        let current = self.baselines.current(host, service).unwrap_or_default();
         let own = self.baseline(service);
         own.iter()
-            .all(|id| told.contains(id) || present.contains(id))
+            .all(|id| confirmed_tables.contains(id) || current.contains(id))
     }
 
-    /// Whether a peer does not know all tables that flows held here may follow.
-    pub(crate) fn has_unsaid(&self, host: HostId) -> bool {
+    /// Returns whether a peer lacks a table that flows held here may follow.
+    pub(crate) fn has_unsent_tables(&self, host: HostId) -> bool {
         self.tables
             .services()
-            .any(|service| !self.is_told(host, service))
+            .any(|service| !self.knows_all_tables(host, service))
     }
 
-    /// Keeps what a peer said for the flows it leaves behind, and stops waiting for it.
-    fn lose_peer(&mut self, now: Instant, host: HostId, orders: &mut Vec<FlowOrder>) {
-        self.bury(now, host);
+    /// Retains the baselines of an unreachable peer for the flows that it leaves behind, and stops
+    /// waiting for its replies.
+    fn handle_peer_loss(&mut self, now: Instant, host: HostId, commands: &mut Vec<FlowCommand>) {
+        self.retire_baselines(now, host);
         self.handover.restart_peer(host);
-        self.greeted.remove(&host);
-        self.unheard.remove(&host);
-        for digest in self.questions.flows() {
-            self.take_denial(now, host, digest, orders);
+        self.hello_acked.remove(&host);
+        self.peers_with_pending_tables.remove(&host);
+        for digest in self.queries.flows() {
+            self.handle_denial(now, host, digest, commands);
         }
     }
 }
--- a/lib/src/flow_exchange.rs
+++ b/lib/src/flow_exchange.rs
@@ -1,22 +1,22 @@
-//! What a host does with its peers' messages on flows.
+//! Handling of flow messages from peers.
 
 use std::time::Instant;
 
-use crate::baseline_book::BaselineEnd;
-use crate::flow_derivation::LegacyPlace;
+use crate::baseline_table::BaselineEnd;
+use crate::flow_derivation::InheritedPlacement;
+use crate::flow_directory::FlowCommand;
 use crate::flow_directory::FlowDirectory;
 use crate::flow_directory::FlowLookup;
-use crate::flow_directory::FlowOrder;
-use crate::flow_message::FlowAnswer;
 use crate::flow_message::FlowMessage;
-use crate::flow_message::FlowNote;
 use crate::flow_message::FlowParties;
+use crate::flow_message::FlowRecordEntry;
+use crate::flow_message::FlowReply;
 use crate::flow_message::FlowSequence;
-use crate::flow_message::MAX_MEMBERS;
-use crate::flow_message::TableNote;
-use crate::flow_question::FlowIntent;
-use crate::flow_question::FlowQuestion;
-use crate::flow_question::QuestionStep;
+use crate::flow_message::MAX_TABLE_MEMBERS;
+use crate::flow_message::ServiceTables;
+use crate::flow_query::FlowIntent;
+use crate::flow_query::FlowQuery;
+use crate::flow_query::QueryProgress;
 use crate::flow_table::CopyMark;
 use crate::flow_table::FlowRecord;
 use crate::ids::FlowDigest;
@@ -28,56 +28,61 @@
 use crate::placement_table::TableMember;
 
 impl FlowDirectory {
-    /// Takes a peer's message.
+    /// Handles a message from a peer.
     ///
-    /// One that was meant for a former process of this host is dropped: this one never held what
-    /// it confirms or builds on. One from a former process of the peer is dropped as well.
-    pub fn take_message(
+    /// A message to an earlier generation of this host is dropped, because this process never held
+    /// the state that it confirms or builds on. A message from an earlier generation of the peer is
+    /// dropped as well.
+    pub fn handle_message(
         &mut self,
         now: Instant,
         sender: HostId,
         parties: FlowParties,
         message: &FlowMessage,
-        orders: &mut Vec<FlowOrder>,
+        commands: &mut Vec<FlowCommand>,
     ) {
-        let known = self.book.incarnation(sender);
+        let known = self.baselines.incarnation(sender);
         if known.is_some_and(|known| parties.from < known) {
             return;
         }
-        if self.book.meet(sender, parties.from) {
-            self.bury(now, sender);
+        if self.baselines.observe_process(sender, parties.from) {
+            self.retire_baselines(now, sender);
             self.handover.restart_peer(sender);
-            self.greeted.remove(&sender);
+            self.hello_acked.remove(&sender);
             self.sweep.restart();
         }
         if *message == FlowMessage::Hello {
-            // It may be the same process that had lost sight of this host.
+            // The sender may be a known process that had lost contact with this host.
             self.handover.restart_peer(sender);
             self.sweep.restart();
-            let holds = !self.flows.is_empty() || !self.copies.is_empty() || self.book.has_former();
-            self.tell(sender, FlowMessage::HelloBack { holds }, orders);
+            let holds =
+                !self.flows.is_empty() || !self.copies.is_empty() || self.baselines.has_previous();
+            self.send_message(sender, FlowMessage::HelloBack { holds }, commands);
             return;
         }
         if parties.to != Some(self.settings.incarnation) {
             return;
         }
         match message {
-            FlowMessage::Records { sequence, notes } => {
-                for note in notes {
-                    self.take_note(now, sender, note);
+            FlowMessage::Records { sequence, entries } => {
+                for entry in entries {
+                    self.handle_record(now, sender, entry);
                 }
-                self.confirm(sender, *sequence, orders);
+                self.confirm(sender, *sequence, commands);
             }
             FlowMessage::Baselines { sequence, tables } => {
-                self.learn_baselines(now, sender, tables);
-                self.confirm(sender, *sequence, orders);
+                self.handle_baselines(now, sender, tables);
+                self.confirm(sender, *sequence, commands);
             }
-            FlowMessage::Confirm { sequence, unsaid } => {
-                self.take_confirm(sender, *sequence);
-                if *unsaid {
-                    self.unheard.insert(sender);
+            FlowMessage::Confirm {
+                sequence,
+                tables_pending,
+            } => {
+                self.handle_confirm(sender, *sequence);
+                if *tables_pending {
+                    self.peers_with_pending_tables.insert(sender);
                 } else {
-                    self.unheard.remove(&sender);
+                    self.peers_with_pending_tables.remove(&sender);
                 }
             }
             FlowMessage::Ask {
@@ -88,49 +93,54 @@
                 let flow = FlowDigest::from_le_bytes(*digest);
                 let message = FlowMessage::Tell {
                     digest: *digest,
-                    answer: self.answer(now, flow, *service, *established),
+                    reply: self.build_reply(now, flow, *service, *established),
                 };
-                self.tell(sender, message, orders);
+                self.send_message(sender, message, commands);
             }
-            FlowMessage::Tell { digest, answer } => {
+            FlowMessage::Tell { digest, reply } => {
                 let flow = FlowDigest::from_le_bytes(*digest);
-                self.take_answer(now, sender, flow, answer, orders);
+                self.handle_reply(now, sender, flow, reply, commands);
             }
             FlowMessage::WantTable { service, table } => {
-                self.send_table(sender, *service, *table, orders);
+                self.send_table(sender, *service, *table, commands);
             }
             FlowMessage::Table { service, members } => {
-                self.take_table(*service, members);
+                self.handle_table(*service, members);
             }
             FlowMessage::HelloBack { holds } => {
-                self.greeted.insert(sender);
+                self.hello_acked.insert(sender);
                 if *holds {
-                    self.meet_elder(now, sender);
+                    self.record_previous_owner(now, sender);
                 }
             }
             FlowMessage::Hello => {}
         }
     }
 
-    pub(crate) fn tell(&self, host: HostId, message: FlowMessage, orders: &mut Vec<FlowOrder>) {
+    pub(crate) fn send_message(
+        &self,
+        host: HostId,
+        message: FlowMessage,
+        commands: &mut Vec<FlowCommand>,
+    ) {
         let parties = FlowParties {
             from: self.settings.incarnation,
-            to: self.book.incarnation(host),
+            to: self.baselines.incarnation(host),
         };
-        orders.push(FlowOrder::Tell {
+        commands.push(FlowCommand::Tell {
             host,
             parties,
             message,
         });
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn send_query(
         &self,
         digest: FlowDigest,
         service: ServiceId,
         intent: FlowIntent,
         hosts: &[HostId],
-        orders: &mut Vec<FlowOrder>,
+        commands: &mut Vec<FlowCommand>,
     ) {
         for host in hosts {
             let message = FlowMessage::Ask {
@@ -138,134 +148,138 @@
                 service,
                 established: intent == FlowIntent::Established,
             };
-            self.tell(*host, message, orders);
+            self.send_message(*host, message, commands);
         }
     }
 
-    /// Repeats the questions whose answers are overdue and ends those that stay unanswered.
-    pub(crate) fn end_questions(&mut self, now: Instant, orders: &mut Vec<FlowOrder>) {
-        for digest in self.questions.overdue(now) {
-            let Some(question) = self.questions.close(digest) else {
+    /// Retransmits queries without a reply and ends those that have reached their deadline.
+    pub(crate) fn process_query_timers(&mut self, now: Instant, commands: &mut Vec<FlowCommand>) {
+        for digest in self.queries.timed_out(now) {
+            let Some(query) = self.queries.close(digest) else {
                 continue;
             };
-            // A silent host may hold the flow, so an opened one is neither derived nor ended.
-            let lookup = match question.intent {
-                FlowIntent::Open => self.place(now, digest, question.service),
-                FlowIntent::Established => FlowLookup::Unsure,
+            // A silent host may hold the flow, so an established flow is neither derived nor ended.
+            let lookup = match query.intent {
+                FlowIntent::Open => self.place(now, digest, query.service),
+                FlowIntent::Established => FlowLookup::Undetermined,
             };
-            orders.push(FlowOrder::Settled { digest, lookup });
+            commands.push(FlowCommand::Settled { digest, lookup });
         }
-        for (digest, question) in self.questions.repeats(now) {
-            let silent: Vec<HostId> = question.waiting.into_iter().collect();
-            self.ask(digest, question.service, question.intent, &silent, orders);
+        for (digest, query) in self.queries.due_retransmissions(now) {
+            let silent: Vec<HostId> = query.pending_hosts.into_iter().collect();
+            self.send_query(digest, query.service, query.intent, &silent, commands);
         }
     }
 
-    pub(crate) fn take_denial(
+    pub(crate) fn handle_denial(
         &mut self,
         now: Instant,
         host: HostId,
         digest: FlowDigest,
-        orders: &mut Vec<FlowOrder>,
+        commands: &mut Vec<FlowCommand>,
     ) {
-        match self.questions.denied(now, digest, host) {
-            QuestionStep::Waiting => {}
-            QuestionStep::Ask(hosts) => {
-                if let Some(question) = self.questions.get(digest) {
-                    let (service, intent) = (question.service, question.intent);
-                    self.ask(digest, service, intent, &hosts, orders);
+        match self.queries.add_denial(now, digest, host) {
+            QueryProgress::Waiting => {}
+            QueryProgress::SendTo(hosts) => {
+                if let Some(query) = self.queries.get(digest) {
+                    let (service, intent) = (query.service, query.intent);
+                    self.send_query(digest, service, intent, &hosts, commands);
                 }
             }
-            QuestionStep::Nobody => {
-                if let Some(question) = self.questions.close(digest) {
-                    let lookup = self.settle(now, digest, &question);
-                    orders.push(FlowOrder::Settled { digest, lookup });
+            QueryProgress::NoHolder => {
+                if let Some(query) = self.queries.close(digest) {
+                    let lookup = self.resolve_query(now, digest, &query);
+                    commands.push(FlowCommand::Settled { digest, lookup });
                 }
             }
         }
     }
 
-    fn take_answer(
+    fn handle_reply(
         &mut self,
         now: Instant,
         sender: HostId,
         digest: FlowDigest,
-        answer: &FlowAnswer,
-        orders: &mut Vec<FlowOrder>,
+        reply: &FlowReply,
+        commands: &mut Vec<FlowCommand>,
     ) {
-        let note = match answer {
-            FlowAnswer::Holds(note) => note,
-            FlowAnswer::Derives(note) => {
-                self.learn_address(note);
+        let entry = match reply {
+            FlowReply::Holds(entry) => entry,
+            FlowReply::Derives(entry) => {
+                self.learn_address(entry);
                 let is_better = |host, other| OwnerView::ranks_before(digest, host, other);
-                self.questions
-                    .derived(digest, sender, note.binding(), is_better);
-                return self.take_denial(now, sender, digest, orders);
+                self.queries
+                    .add_derived(digest, sender, entry.binding(), is_better);
+                return self.handle_denial(now, sender, digest, commands);
             }
-            FlowAnswer::Unknown => return self.take_denial(now, sender, digest, orders),
+            FlowReply::Unknown => return self.handle_denial(now, sender, digest, commands),
         };
-        if self.questions.close(digest).is_none() {
+        if self.queries.close(digest).is_none() {
             return;
         }
-        self.learn_address(note);
-        let lookup = match self.held(now, digest) {
+        self.learn_address(entry);
+        let lookup = match self.touch_or_promote(now, digest) {
             Some(record) => FlowLookup::Found(record.binding),
-            None => self.adopt(now, digest, note.binding()),
+            None => self.bind_flow(now, digest, entry.binding()),
         };
-        orders.push(FlowOrder::Settled { digest, lookup });
+        commands.push(FlowCommand::Settled { digest, lookup });
     }
 
-    /// Settles a flow of which no host that could be asked has a record.
-    fn settle(&mut self, now: Instant, digest: FlowDigest, question: &FlowQuestion) -> FlowLookup {
-        if let Some(record) = self.held(now, digest) {
+    /// Determines the result for a flow of which no reachable host has a record.
+    fn resolve_query(&mut self, now: Instant, digest: FlowDigest, query: &FlowQuery) -> FlowLookup {
+        if let Some(record) = self.touch_or_promote(now, digest) {
             return FlowLookup::Found(record.binding);
         }
-        let service = question.service;
-        let derived = question.derived;
-        match (question.intent, self.legacy_place(digest, service)) {
-            (FlowIntent::Open, LegacyPlace::At(binding)) if self.is_member(binding) => {
-                self.adopt(now, digest, binding)
+        let service = query.service;
+        let derived = query.derived;
+        match (query.intent, self.inherited_placement(digest, service)) {
+            (FlowIntent::Open, InheritedPlacement::At(binding)) if self.is_member(binding) => {
+                self.bind_flow(now, digest, binding)
             }
             (FlowIntent::Open, _) => self.place(now, digest, service),
-            (FlowIntent::Established, LegacyPlace::At(binding)) => self.adopt(now, digest, binding),
-            (FlowIntent::Established, LegacyPlace::Conflict) => FlowLookup::Absent,
+            (FlowIntent::Established, InheritedPlacement::At(binding)) => {
+                self.bind_flow(now, digest, binding)
+            }
+            (FlowIntent::Established, InheritedPlacement::Conflict) => FlowLookup::NotFound,
             (FlowIntent::Established, _) => match derived {
-                Some((_host, binding)) => self.adopt(now, digest, binding),
-                None => FlowLookup::Absent,
+                Some((_host, binding)) => self.bind_flow(now, digest, binding),
+                None => FlowLookup::NotFound,
             },
         }
     }
 
-    fn answer(
+    fn build_reply(
         &self,
         now: Instant,
         digest: FlowDigest,
         service: ServiceId,
         established: bool,
-    ) -> FlowAnswer {
+    ) -> FlowReply {
         if let Some(record) = self.peek(now, digest) {
-            return FlowAnswer::Holds(self.note(now, digest, &record));
+            return FlowReply::Holds(self.record_entry(now, digest, &record));
         }
-        let derived = established.then(|| self.derive_unheld(now, digest, service));
+        let derived = established.then(|| self.derive_without_record(now, digest, service));
         let Some(binding) = derived.flatten() else {
-            return FlowAnswer::Unknown;
+            return FlowReply::Unknown;
         };
         let record = FlowRecord {
             binding,
             idle_deadline: now + self.settings.flow_idle,
         };
-        FlowAnswer::Derives(self.note(now, digest, &record))
+        FlowReply::Derives(self.record_entry(now, digest, &record))
     }
 
-    /// Keeps a copied record, or serves the flow if this host owns it by now.
+    /// Stores a copied record, or serves the flow if this host owns it now.
     ///
-    /// Two hosts with different views may both have opened one flow; its owner's record stays.
-    fn take_note(&mut self, now: Instant, sender: HostId, note: &FlowNote) {
-        let digest = note.flow();
-        self.learn_address(note);
-        let record = note.record(now, self.settings.flow_idle);
+    /// Two hosts with different views may both have opened a flow; the owner's record takes
+    /// precedence.
+    fn handle_record(&mut self, now: Instant, sender: HostId, entry: &FlowRecordEntry) {
+        let digest = entry.flow();
+        self.learn_address(entry);
+        let record = entry.record(now, self.settings.flow_idle);
         if self.view.owner(digest) == self.settings.host {
-            // A record that was about to be released is kept on: the sender relies on it now.
+            // The deadline of a record that was to be released is extended, because the sender
+            // relies on it now.
             let kept = self.flows.touch(now, digest, record.idle_deadline);
             if kept.is_none() {
                 self.flows.insert(now, digest, record);
@@ -274,7 +288,8 @@
             return;
         }
         let copy = FlowRecord {
-            // The owner renews the copy in half this time, however long it was silent when copied.
+            // The owner renews the copy within half the idle timeout, however long the flow was
+            // idle when it was copied.
             idle_deadline: record
                 .idle_deadline
                 .max(now + self.settings.flow_idle * 3 / 4),
@@ -284,80 +299,85 @@
         self.copies.insert(now, digest, copy);
         let mark = CopyMark {
             host: sender,
-            period: self.handover.life(sender),
+            epoch: self.handover.process_epoch(sender),
         };
         self.copies.mark_copied(digest, mark);
     }
 
-    pub(crate) fn note(&self, now: Instant, digest: FlowDigest, record: &FlowRecord) -> FlowNote {
+    pub(crate) fn record_entry(
+        &self,
+        now: Instant,
+        digest: FlowDigest,
+        record: &FlowRecord,
+    ) -> FlowRecordEntry {
         let binding = record.binding;
-        FlowNote {
+        FlowRecordEntry {
             former_address: self
                 .addresses
                 .former_address(binding.upstream, binding.incarnation),
-            ..FlowNote::new(now, digest, record)
+            ..FlowRecordEntry::new(now, digest, record)
         }
     }
 
-    fn learn_address(&mut self, note: &FlowNote) {
-        if let Some(address) = note.former_address {
+    fn learn_address(&mut self, entry: &FlowRecordEntry) {
+        if let Some(address) = entry.former_address {
             self.addresses
-                .learn(note.upstream, note.incarnation, address);
+                .learn(entry.upstream, entry.incarnation, address);
         }
     }
 
-    fn take_confirm(&mut self, sender: HostId, sequence: FlowSequence) {
+    fn handle_confirm(&mut self, sender: HostId, sequence: FlowSequence) {
         let (digests, epoch) = self.handover.confirm(sender, sequence);
-        let of_flow = CopyMark {
+        let mark_for_flows = CopyMark {
             host: sender,
-            period: epoch,
+            epoch,
         };
-        let of_copy = CopyMark {
+        let mark_for_copies = CopyMark {
             host: sender,
-            period: self.handover.life(sender),
+            epoch: self.handover.process_epoch(sender),
         };
         for digest in digests {
-            self.flows.mark_copied(digest, of_flow);
-            self.copies.mark_copied(digest, of_copy);
+            self.flows.mark_copied(digest, mark_for_flows);
+            self.copies.mark_copied(digest, mark_for_copies);
         }
     }
 
-    fn learn_baselines(&mut self, now: Instant, sender: HostId, tables: &[TableNote]) {
-        for note in tables {
-            let known = self.book.present(sender, note.service);
-            if known == Some(&note.tables) {
+    fn handle_baselines(&mut self, now: Instant, sender: HostId, tables: &[ServiceTables]) {
+        for entry in tables {
+            let known = self.baselines.current(sender, entry.service);
+            if known == Some(&entry.tables) {
                 continue;
             }
-            for table in &note.tables {
-                if self.tables.find(note.service, *table).is_none() {
-                    self.wanted.insert((note.service, *table));
+            for table in &entry.tables {
+                if self.tables.find(entry.service, *table).is_none() {
+                    self.missing_tables.insert((entry.service, *table));
                 }
             }
-            let former = self.book.learn(sender, note.service, &note.tables);
+            let previous = self.baselines.update(sender, entry.service, &entry.tables);
             let inherited = self.inherited_deadline.filter(|deadline| now < *deadline);
-            let is_lost = |tables: &Vec<_>| tables.iter().any(|id| !note.tables.contains(id));
-            if let Some((tables, deadline)) = former.filter(is_lost).zip(inherited) {
+            let is_lost = |tables: &Vec<_>| tables.iter().any(|id| !entry.tables.contains(id));
+            if let Some((tables, deadline)) = previous.filter(is_lost).zip(inherited) {
                 let end = BaselineEnd::Replaced;
-                self.book
-                    .keep(sender, note.service, end, tables, true, deadline);
+                self.baselines
+                    .retain_previous(sender, entry.service, end, tables, true, deadline);
             }
             self.sweep.restart();
         }
     }
 
-    /// Asks again for the tables that peers follow and this host has never seen, because it joined
-    /// or heard of a configuration later.
-    pub(crate) fn want_tables(&mut self, orders: &mut Vec<FlowOrder>) {
+    /// Requests again the tables that peers follow and this host does not have, because it joined
+    /// or received a configuration later than they did.
+    pub(crate) fn request_missing_tables(&mut self, commands: &mut Vec<FlowCommand>) {
         let tables = &self.tables;
-        self.wanted
+        self.missing_tables
             .retain(|(service, table)| tables.find(*service, *table).is_none());
-        for (service, table) in &self.wanted {
+        for (service, table) in &self.missing_tables {
             for host in &self.view.reachable {
                 let message = FlowMessage::WantTable {
                     service: *service,
                     table: *table,
                 };
-                self.tell(*host, message, orders);
+                self.send_message(*host, message, commands);
             }
         }
     }
@@ -367,28 +387,35 @@
         sender: HostId,
         service: ServiceId,
         table: TableId,
-        orders: &mut Vec<FlowOrder>,
+        commands: &mut Vec<FlowCommand>,
     ) {
         let Some(table) = self.tables.find(service, table) else {
             return;
         };
         let members = table.members().to_vec();
-        if members.len() <= MAX_MEMBERS {
-            self.tell(sender, FlowMessage::Table { service, members }, orders);
+        if members.len() <= MAX_TABLE_MEMBERS {
+            self.send_message(sender, FlowMessage::Table { service, members }, commands);
         }
     }
 
-    fn take_table(&mut self, service: ServiceId, members: &[TableMember]) {
+    fn handle_table(&mut self, service: ServiceId, members: &[TableMember]) {
         let table = PlacementTable::of_members(service, members.to_vec());
-        if self.wanted.remove(&(service, table.id())) {
-            self.tables.remember(table);
+        if self.missing_tables.remove(&(service, table.id())) {
+            self.tables.insert_older(table);
             self.sweep.restart();
         }
     }
 
-    fn confirm(&self, sender: HostId, sequence: FlowSequence, orders: &mut Vec<FlowOrder>) {
-        // A host that leaves before its table has arrived here would take it along.
-        let unsaid = self.has_unsaid(sender) || !self.wanted.is_empty();
-        self.tell(sender, FlowMessage::Confirm { sequence, unsaid }, orders);
+    fn confirm(&self, sender: HostId, sequence: FlowSequence, commands: &mut Vec<FlowCommand>) {
+        // A host that leaves before this host has received its table would take the table with it.
+        let tables_pending = self.has_unsent_tables(sender) || !self.missing_tables.is_empty();
+        self.send_message(
+            sender,
+            FlowMessage::Confirm {
+                sequence,
+                tables_pending,
+            },
+            commands,
+        );
     }
 }
--- a/lib/src/flow_handover.rs
+++ b/lib/src/flow_handover.rs
@@ -1,7 +1,9 @@
-//! What a host tells the heirs of its flows, within a byte budget, until they confirm it.
+//! Copies of flow records and baselines for the successors of a host's flows, sent within a byte
+//! budget until they are confirmed.
 //!
-//! An heir derives most flows from the sender's baseline; only exceptions are copied. One message a
-//! peer is under way at a time and is sent again until it is confirmed, urgent records first.
+//! A successor derives most flows from the sender's baseline; only exceptions are copied. Each peer
+//! has at most one message in flight, which is sent again until it is confirmed. Urgent records
+//! precede baselines, and those precede deferred records.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,80 +14,81 @@
 use crate::byte_budget::TrafficClass;
 use crate::flow_message::FlowMessage;
 use crate::flow_message::FlowSequence;
-use crate::flow_message::MAX_NOTES;
-use crate::flow_message::MAX_TABLES;
-use crate::flow_message::TableNote;
+use crate::flow_message::MAX_RECORD_ENTRIES;
+use crate::flow_message::MAX_SERVICE_TABLES;
+use crate::flow_message::ServiceTables;
 use crate::ids::FlowDigest;
 use crate::ids::HostId;
 use crate::ids::ServiceId;
 use crate::placement_table::TableId;
 
-/// When an unconfirmed message is sent again; ten times the delay between zones of today.
-const RESEND_AFTER: Duration = Duration::from_millis(40);
-/// Bytes of a datagram that are no note: IP and UDP headers, frame, code.
-pub const DATAGRAM_OVERHEAD: usize = 72;
-/// Most bytes of one note in `postcard`: digest, three short numbers, incarnation, time.
-pub const NOTE_LEN: usize = 30;
-/// Most bytes of one service's tables.
-const TABLE_LEN: usize = 24;
+/// Interval at which an unconfirmed message is sent again; ten times the delay between today's
+/// zones.
+const RESEND_INTERVAL: Duration = Duration::from_millis(40);
+/// Bytes of a datagram besides the record entries: IP and UDP headers, frame, authentication code.
+pub const DATAGRAM_OVERHEAD_BYTES: usize = 72;
+/// Maximum bytes of one record entry in `postcard`: digest, three short integers, generation, time.
+pub const MAX_RECORD_ENTRY_BYTES: usize = 30;
+/// Maximum bytes of one service's tables.
+const MAX_SERVICE_TABLES_BYTES: usize = 24;
 
 /// How urgently a peer needs a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CopyUrgency {
     /// The peer would derive another upstream now.
-    Now,
+    Urgent,
     /// The peer would derive another upstream after the next baseline.
-    Later,
+    Deferred,
 }
 
-/// What one message carries.
+/// Content of one message.
 #[derive(Clone, Debug)]
-enum Cargo {
+enum Payload {
     Records(Vec<FlowDigest>),
-    Baselines(Vec<TableNote>),
+    Baselines(Vec<ServiceTables>),
 }
 
 #[derive(Clone, Debug)]
 struct InFlight {
     sequence: FlowSequence,
-    cargo: Cargo,
+    payload: Payload,
     class: TrafficClass,
     resend_deadline: Instant,
-    /// The copying epoch that a confirmation proves.
-    epoch: u16,
+    /// The copy epoch that a confirmation of this message proves.
+    copy_epoch: u16,
 }
 
-/// What one peer has been told and is still to be told.
+/// What one peer has confirmed, and what remains to be sent to it.
 #[derive(Clone, Debug, Default)]
 struct PeerQueue {
     urgent: BTreeSet<FlowDigest>,
-    later: BTreeSet<FlowDigest>,
+    deferred: BTreeSet<FlowDigest>,
     baselines: BTreeMap<ServiceId, Vec<TableId>>,
-    told: BTreeMap<ServiceId, Vec<TableId>>,
+    confirmed_tables: BTreeMap<ServiceId, Vec<TableId>>,
     in_flight: Option<InFlight>,
-    /// Grows whenever copies that the peer confirmed may be lost or are to be renewed.
-    epoch: u16,
-    /// Grows whenever the peer is another process or was away.
-    life: u16,
+    /// Incremented when copies that the peer confirmed may be lost or must be renewed.
+    copy_epoch: u16,
+    /// Incremented when the peer restarts or was unreachable.
+    process_epoch: u16,
 }
 
-/// A batch that is to be sent.
+/// A message that is to be sent.
 #[derive(Clone, Debug)]
 pub enum HandoverBatch {
-    /// Records of these flows.
+    /// Records of these flows, which the caller must add.
     Records(FlowSequence, Vec<FlowDigest>),
-    /// A message without records.
+    /// A complete message, without records.
     Ready(FlowMessage),
 }
 
-/// The outgoing side of a host's hand-over.
+/// The queues of records and baselines for all peers.
 #[derive(Clone, Debug)]
 pub struct FlowHandover {
     peers: BTreeMap<HostId, PeerQueue>,
-    /// Bytes a second, and bytes at once.
+    /// Budget in bytes per second, and bytes sent at once.
     rate: u32,
     burst: u32,
-    /// Made when time is first known.
+    /// Created at the first call that knows the time.
     budget: Option<ByteBudget>,
     sequence: FlowSequence,
     /// The peer served first in the next tick, so that one long queue does not starve the others.
@@ -93,7 +96,7 @@
 }
 
 impl FlowHandover {
-    /// Makes one that sends `rate` bytes a second, and saves up `burst`.
+    /// Creates a handover that sends `rate` bytes per second and at most `burst` bytes at once.
     pub fn new(rate: u32, burst: u32) -> Self {
         Self {
             peers: BTreeMap::new(),
@@ -105,74 +108,75 @@
         }
     }
 
-    /// The copying epoch of a peer; a copy confirmed in another one does not count.
-    pub fn epoch(&self, peer: HostId) -> u16 {
-        self.peers.get(&peer).map_or(0, |queue| queue.epoch)
+    /// Returns the copy epoch of a peer. A copy confirmed in another epoch does not count.
+    pub fn copy_epoch(&self, peer: HostId) -> u16 {
+        self.peers.get(&peer).map_or(0, |queue| queue.copy_epoch)
     }
 
-    /// Counts the processes met on a peer; what one of them held says nothing of the next.
-    pub fn life(&self, peer: HostId) -> u16 {
-        self.peers.get(&peer).map_or(0, |queue| queue.life)
+    /// Returns the number of processes seen on a peer. A copy held by one process is not held by
+    /// the next.
+    pub fn process_epoch(&self, peer: HostId) -> u16 {
+        self.peers.get(&peer).map_or(0, |queue| queue.process_epoch)
     }
 
-    /// The tables that a peer has confirmed for a service.
-    pub fn told(&self, peer: HostId, service: ServiceId) -> Option<&[TableId]> {
+    /// Returns the tables of a service that a peer has confirmed.
+    pub fn confirmed_tables(&self, peer: HostId, service: ServiceId) -> Option<&[TableId]> {
         let queue = self.peers.get(&peer)?;
-        queue.told.get(&service).map(Vec::as_slice)
+        queue.confirmed_tables.get(&service).map(Vec::as_slice)
     }
 
-    /// Asks for a record to be copied to a peer.
-    pub fn copy(&mut self, peer: HostId, digest: FlowDigest, urgency: CopyUrgency) {
+    /// Queues a record to be copied to a peer.
+    pub fn queue_copy(&mut self, peer: HostId, digest: FlowDigest, urgency: CopyUrgency) {
         let queue = self.peers.entry(peer).or_default();
         match urgency {
-            CopyUrgency::Now => {
-                queue.later.remove(&digest);
+            CopyUrgency::Urgent => {
+                queue.deferred.remove(&digest);
                 queue.urgent.insert(digest);
             }
-            CopyUrgency::Later if !queue.urgent.contains(&digest) => {
-                queue.later.insert(digest);
+            CopyUrgency::Deferred if !queue.urgent.contains(&digest) => {
+                queue.deferred.insert(digest);
             }
-            CopyUrgency::Later => {}
+            CopyUrgency::Deferred => {}
         }
     }
 
-    /// Asks for a peer to be told the tables of a service, unless it knows them.
-    pub fn announce(&mut self, peer: HostId, service: ServiceId, tables: Vec<TableId>) {
+    /// Queues the tables of a service for a peer, unless the peer has confirmed them.
+    pub fn queue_tables(&mut self, peer: HostId, service: ServiceId, tables: Vec<TableId>) {
         let queue = self.peers.entry(peer).or_default();
-        if queue.told.get(&service) != Some(&tables) {
+        if queue.confirmed_tables.get(&service) != Some(&tables) {
             queue.baselines.insert(service, tables);
         }
     }
 
-    /// Forgets everything a peer was told: it is another process now, or was away.
+    /// Discards everything that a peer has confirmed, because it has restarted or was unreachable.
     pub fn restart_peer(&mut self, peer: HostId) {
         let queue = self.peers.entry(peer).or_default();
         *queue = PeerQueue {
-            epoch: queue.epoch.wrapping_add(1),
-            life: queue.life.wrapping_add(1),
+            copy_epoch: queue.copy_epoch.wrapping_add(1),
+            process_epoch: queue.process_epoch.wrapping_add(1),
             ..PeerQueue::default()
         };
     }
 
-    /// Starts a new copying epoch with every peer, so that exceptions are copied anew before the
-    /// copies fall idle.
+    /// Starts a new copy epoch with every peer, so that exceptions are copied again before the
+    /// copies expire.
     pub fn renew_copies(&mut self) {
         for queue in self.peers.values_mut() {
-            queue.epoch = queue.epoch.wrapping_add(1);
+            queue.copy_epoch = queue.copy_epoch.wrapping_add(1);
         }
     }
 
-    /// Whether every record and baseline asked for has been confirmed.
+    /// Returns whether every queued record and baseline has been confirmed.
     pub fn is_idle(&self) -> bool {
         self.peers.values().all(|queue| {
             queue.urgent.is_empty()
-                && queue.later.is_empty()
+                && queue.deferred.is_empty()
                 && queue.baselines.is_empty()
                 && queue.in_flight.is_none()
         })
     }
 
-    /// Takes a confirmation in; returns the flows whose copies it proves, with the epoch.
+    /// Handles a confirmation. Returns the flows whose copies it proves, and their copy epoch.
     pub fn confirm(&mut self, peer: HostId, sequence: FlowSequence) -> (Vec<FlowDigest>, u16) {
         let Some(queue) = self.peers.get_mut(&peer) else {
             return (Vec::new(), 0);
@@ -183,18 +187,18 @@
         else {
             return (Vec::new(), 0);
         };
-        match in_flight.cargo {
-            Cargo::Records(digests) => (digests, in_flight.epoch),
-            Cargo::Baselines(notes) => {
-                for note in notes {
-                    queue.told.insert(note.service, note.tables);
+        match in_flight.payload {
+            Payload::Records(digests) => (digests, in_flight.copy_epoch),
+            Payload::Baselines(entries) => {
+                for entry in entries {
+                    queue.confirmed_tables.insert(entry.service, entry.tables);
                 }
                 (Vec::new(), 0)
             }
         }
     }
 
-    /// The batches that may be sent now: repeats that are due, then what waits.
+    /// Returns the messages that may be sent now: due retransmissions and new messages.
     pub fn due(&mut self, now: Instant) -> Vec<(HostId, HandoverBatch)> {
         let mut batches = Vec::new();
         let (rate, burst) = (self.rate, self.burst);
@@ -219,9 +223,9 @@
                 self.cursor = peer;
                 break;
             }
-            budget.spend(in_flight.class, in_flight.cargo.len());
+            budget.spend(in_flight.class, in_flight.payload.len());
             self.sequence = self.sequence.max(in_flight.sequence);
-            in_flight.resend_deadline = now + RESEND_AFTER;
+            in_flight.resend_deadline = now + RESEND_INTERVAL;
             batches.push((peer, in_flight.batch()));
         }
         batches
@@ -229,26 +233,26 @@
 }
 
 impl PeerQueue {
-    fn next_cargo(&mut self) -> Option<Cargo> {
+    fn next_payload(&mut self) -> Option<Payload> {
         if !self.urgent.is_empty() {
-            return Some(Cargo::Records(take_some(&mut self.urgent)));
+            return Some(Payload::Records(take_records(&mut self.urgent)));
         }
         if !self.baselines.is_empty() {
-            let mut notes = Vec::new();
-            while notes.len() < MAX_TABLES
+            let mut entries = Vec::new();
+            while entries.len() < MAX_SERVICE_TABLES
                 && let Some((service, tables)) = self.baselines.pop_first()
             {
-                notes.push(TableNote { service, tables });
+                entries.push(ServiceTables { service, tables });
             }
-            return Some(Cargo::Baselines(notes));
+            return Some(Payload::Baselines(entries));
         }
-        if self.later.is_empty() {
+        if self.deferred.is_empty() {
             return None;
         }
-        Some(Cargo::Records(take_some(&mut self.later)))
+        Some(Payload::Records(take_records(&mut self.deferred)))
     }
 
-    /// Whether a message is due; puts the next one in flight if none is.
+    /// Returns whether a message is due. Puts the next one in flight if there is none.
     fn prepare(&mut self, now: Instant, sequence: FlowSequence) -> bool {
         if let Some(in_flight) = &self.in_flight {
             return in_flight.resend_deadline <= now;
@@ -258,26 +262,26 @@
         } else {
             TrafficClass::Removal
         };
-        let Some(cargo) = self.next_cargo() else {
+        let Some(payload) = self.next_payload() else {
             return false;
         };
         self.in_flight = Some(InFlight {
             sequence,
-            cargo,
+            payload,
             class,
             resend_deadline: now,
-            epoch: self.epoch,
+            copy_epoch: self.copy_epoch,
         });
         true
     }
 }
 
-impl Cargo {
+impl Payload {
     fn len(&self) -> usize {
-        DATAGRAM_OVERHEAD
+        DATAGRAM_OVERHEAD_BYTES
             + match self {
-                Self::Records(digests) => digests.len() * NOTE_LEN,
-                Self::Baselines(notes) => notes.len() * TABLE_LEN,
+                Self::Records(digests) => digests.len() * MAX_RECORD_ENTRY_BYTES,
+                Self::Baselines(entries) => entries.len() * MAX_SERVICE_TABLES_BYTES,
             }
     }
 }
@@ -285,9 +289,9 @@
 impl InFlight {
     fn batch(&self) -> HandoverBatch {
         let sequence = self.sequence;
-        match &self.cargo {
-            Cargo::Records(digests) => HandoverBatch::Records(sequence, digests.clone()),
-            Cargo::Baselines(tables) => HandoverBatch::Ready(FlowMessage::Baselines {
+        match &self.payload {
+            Payload::Records(digests) => HandoverBatch::Records(sequence, digests.clone()),
+            Payload::Baselines(tables) => HandoverBatch::Ready(FlowMessage::Baselines {
                 sequence,
                 tables: tables.clone(),
             }),
@@ -295,9 +299,9 @@
     }
 }
 
-fn take_some(digests: &mut BTreeSet<FlowDigest>) -> Vec<FlowDigest> {
+fn take_records(digests: &mut BTreeSet<FlowDigest>) -> Vec<FlowDigest> {
     let mut taken = Vec::new();
-    while taken.len() < MAX_NOTES
+    while taken.len() < MAX_RECORD_ENTRIES
         && let Some(digest) = digests.pop_first()
     {
         taken.push(digest);
--- a/lib/src/flow_hash.rs
+++ b/lib/src/flow_hash.rs
@@ -1,4 +1,5 @@
-//! Hashes that every host of one user computes alike, whatever its build or start.
+//! Keyed and unkeyed hashes that give the same result on every host, in every build and after every
+//! restart.
 
 use std::hash::Hasher;
 use std::net::IpAddr;
@@ -12,23 +13,22 @@
 use crate::ids::FlowId;
 use crate::ids::ServiceAddress;
 
-/// Digests flows under a key that callers do not know.
+/// Computes flow digests with a secret key.
 ///
-/// Tables hold the digest in place of a flow's identity. With a public hash, a caller could choose
-/// flow numbers that collide with another caller's flow and receive its answers; the key prevents
-/// that.
+/// Tables hold the digest in place of a flow's identity. With an unkeyed hash, a caller could
+/// choose flow numbers that collide with another caller's flow and receive its responses.
 #[derive(Clone)]
 pub struct FlowHasher {
     key: [u8; 16],
 }
 
 impl FlowHasher {
-    /// Makes a hasher with the key that the user's hosts share.
+    /// Creates a hasher with the key that all hosts of one deployment share.
     pub fn new(key: [u8; 16]) -> Self {
         Self { key }
     }
 
-    /// Digests the identity of a flow.
+    /// Returns the digest of a flow's service address, caller address and flow number.
     pub fn digest(&self, service: ServiceAddress, caller: SocketAddr, flow: FlowId) -> FlowDigest {
         let mut hasher = SipHasher24::new_with_key(&self.key);
         write_address(&mut hasher, service);
@@ -38,12 +38,12 @@
     }
 }
 
-/// Weight of `member` for `key`; the member with the largest weight wins (rendezvous hashing).
+/// Returns the rendezvous weight of `member` for `key`; the member with the largest weight wins.
 pub fn rendezvous_weight(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
-/// The half of a digest that rendezvous weights are computed from.
+/// Returns the half of a digest that rendezvous weights are computed from.
 pub fn rendezvous_key(digest: FlowDigest) -> u64 {
     digest as u64
 }
--- a/lib/src/flow_message.rs
+++ b/lib/src/flow_message.rs
@@ -1,4 +1,4 @@
-//! What entry hosts of one cell tell each other of flows.
+//! Messages about flows between the entry hosts of one ownership group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,136 +18,141 @@
 use crate::placement_table::TableId;
 use crate::placement_table::TableMember;
 
-/// Most records in one message; keeps it within one datagram.
-pub const MAX_NOTES: usize = 32;
-/// Most tables in one message.
-pub const MAX_TABLES: usize = 40;
+/// Maximum number of records in one message, which keeps the message within one datagram.
+pub const MAX_RECORD_ENTRIES: usize = 32;
+/// Maximum number of services in one message of baselines.
+pub const MAX_SERVICE_TABLES: usize = 40;
 
-/// Most members of a table that is sent to a host that has never seen it.
-pub const MAX_MEMBERS: usize = 200;
+/// Maximum number of members of a table that is sent to a host which does not have it.
+pub const MAX_TABLE_MEMBERS: usize = 200;
 
-/// Which processes a message is between; one meant for a former process is dropped.
+/// The generations of the processes that a message is sent between. A message to an earlier
+/// generation is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowParties {
-    /// The sender's process.
+    /// Generation of the sender.
     pub from: Incarnation,
-    /// The receiver's process, if the sender has met it.
+    /// Generation of the receiver, if the sender knows it.
     pub to: Option<Incarnation>,
 }
 
-/// Numbers the messages of one sender to one receiver that are to be confirmed.
+/// Sequence number of a message that requires confirmation, per sender and receiver.
 pub type FlowSequence = u64;
 
-/// A message on flows; it may be lost, repeated or late.
+/// A message about flows. It may be lost, duplicated or delayed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FlowMessage {
-    /// Records that the receiver could not derive if it took the flows over.
+    /// Records of flows that the receiver could not derive if it took them over.
     Records {
-        /// To be confirmed.
+        /// Sequence number that the receiver confirms.
         sequence: FlowSequence,
-        /// The records, at most [`MAX_NOTES`].
-        notes: Vec<FlowNote>,
+        /// The records, at most [`MAX_RECORD_ENTRIES`].
+        #[serde(rename = "notes")]
+        entries: Vec<FlowRecordEntry>,
     },
-    /// From now on, a flow that the receiver takes over from the sender lives where one of these
-    /// tables says, unless a record of it was copied.
+    /// The sender's baselines. From now on, a flow that the receiver takes over from the sender is
+    /// bound as one of these tables says, unless a record of it was copied.
     Baselines {
-        /// To be confirmed.
+        /// Sequence number that the receiver confirms.
         sequence: FlowSequence,
-        /// The tables, at most [`MAX_TABLES`].
-        tables: Vec<TableNote>,
+        /// The tables by service, at most [`MAX_SERVICE_TABLES`].
+        tables: Vec<ServiceTables>,
     },
-    /// The message with this number has been taken in.
+    /// Confirms that a message was received and applied.
     Confirm {
-        /// The number.
+        /// Sequence number of the confirmed message.
         sequence: FlowSequence,
-        /// Whether the sender has yet to tell the receiver of tables that its flows may follow, or
-        /// to learn one; a leaving host waits for that.
-        unsaid: bool,
+        /// Whether the sender has tables to announce to the receiver that its flows may follow, or
+        /// lacks a table itself. A leaving host waits until this is false.
+        #[serde(rename = "unsaid")]
+        tables_pending: bool,
     },
-    /// Do you hold this flow?
+    /// Queries whether the receiver holds a flow.
     Ask {
         /// The flow.
         digest: DigestBytes,
-        /// The service its frame was for.
+        /// The service that the flow's frame addressed.
         service: ServiceId,
-        /// Whether it was opened, so that an answer may be derived; a new one is not derived.
+        /// Whether the flow was opened. Only then may the receiver derive its binding.
         established: bool,
     },
-    /// The answer to [`FlowMessage::Ask`].
+    /// Reply to [`FlowMessage::Ask`].
     Tell {
         /// The flow.
         digest: DigestBytes,
-        /// What the sender knows of it.
-        answer: FlowAnswer,
+        /// What the sender knows of the flow.
+        #[serde(rename = "answer")]
+        reply: FlowReply,
     },
-    /// Send the members of this table, which the sender has never seen.
+    /// Requests the members of a table that the sender does not have.
     WantTable {
-        /// Its service.
+        /// The table's service.
         service: ServiceId,
         /// The table.
         table: TableId,
     },
-    /// The answer to [`FlowMessage::WantTable`].
+    /// Reply to [`FlowMessage::WantTable`].
     Table {
-        /// Its service.
+        /// The table's service.
         service: ServiceId,
-        /// The members, at most [`MAX_MEMBERS`], in ascending order of number.
+        /// The members in ascending order of upstream id, at most [`MAX_TABLE_MEMBERS`].
         members: Vec<TableMember>,
     },
-    /// The sender has started; what it was told before is lost.
+    /// Announces that the sender has started and has no state from earlier messages.
     Hello,
-    /// The sender knows the receiver's process.
+    /// Reply to [`FlowMessage::Hello`]: the sender knows the receiver's generation.
     HelloBack {
-        /// Whether it holds flows, or answers for silent ones, that the receiver may take over by
-        /// joining.
+        /// Whether the sender holds flows, or answers for idle ones, that the receiver may take
+        /// over by joining.
         holds: bool,
     },
 }
 
-/// What a host knows of a flow that it is asked for.
+/// Reply of a host to a query about a flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FlowAnswer {
-    /// It has this record.
-    Holds(FlowNote),
-    /// It has none, but if nobody has, the flow lives here, by what hosts that are gone have said.
-    Derives(FlowNote),
-    /// It knows nothing of it.
+pub enum FlowReply {
+    /// The host has this record.
+    Holds(FlowRecordEntry),
+    /// The host has no record. If no other host has one, the flow has this binding, derived from
+    /// the baselines of hosts that are gone.
+    Derives(FlowRecordEntry),
+    /// The host knows nothing of the flow.
     Unknown,
 }
 
-/// A flow's digest as 16 bytes; as a number it would take up to 19.
+/// A flow digest as 16 bytes; encoded as an integer, it would take up to 19.
 pub type DigestBytes = [u8; 16];
 
-/// A record under way.
+/// A flow record as sent in messages.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FlowNote {
-    /// The flow.
+pub struct FlowRecordEntry {
+    /// Digest of the flow.
     pub digest: DigestBytes,
-    /// Its service.
+    /// Service of the flow.
     pub service: ServiceId,
-    /// Its upstream.
+    /// Upstream of the flow.
     pub upstream: UpstreamId,
-    /// The upstream's incarnation.
+    /// Generation of the upstream.
     pub incarnation: Incarnation,
-    /// The upstream's last address, if it is not published any more.
+    /// Last address of the upstream, if the configuration no longer contains it.
     pub former_address: Option<SocketAddr>,
-    /// Time in seconds until it is idle.
+    /// Time until the flow's idle deadline, in whole seconds.
     #[serde_as(as = "DurationSeconds<u64>")]
     pub remaining: Duration,
 }
 
-/// The table that a service's flows follow.
+/// The placement tables that the flows of a service follow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TableNote {
+pub struct ServiceTables {
     /// The service.
     pub service: ServiceId,
-    /// The tables, the sender's present one first; each of its flows follows one of them.
+    /// The tables, the sender's current one first. Each of the sender's flows follows one of them.
     pub tables: Vec<TableId>,
 }
 
-impl FlowNote {
-    /// Describes a record as of `now`.
+impl FlowRecordEntry {
+    /// Creates an entry from a record, with the time remaining at `now`.
     pub fn new(now: Instant, digest: FlowDigest, record: &FlowRecord) -> Self {
         Self {
             digest: digest.to_le_bytes(),
@@ -159,12 +164,12 @@
         }
     }
 
-    /// The flow.
+    /// Returns the flow's digest.
     pub fn flow(&self) -> FlowDigest {
         FlowDigest::from_le_bytes(self.digest)
     }
 
-    /// Where it lives.
+    /// Returns the flow's binding.
     pub fn binding(&self) -> FlowBinding {
         FlowBinding {
             service: self.service,
@@ -173,7 +178,7 @@
         }
     }
 
-    /// The record as of `now`, kept for `idle` at most.
+    /// Returns the record with a deadline counted from `now`, at most `idle` later.
     pub fn record(&self, now: Instant, idle: Duration) -> FlowRecord {
         FlowRecord {
             binding: self.binding(),
--- a/lib/src/flow_segment.rs
+++ b/lib/src/flow_segment.rs
@@ -1,99 +1,103 @@
-//! One segment of the flow table: an array of packed records in the order of their digests.
+//! One segment of the flow table: an open-addressing array of packed records in ascending order of
+//! digest.
 //!
-//! A record's home follows its digest proportionally, so that the order of homes is the order of
-//! digests; a record whose home is taken stands in the next free place behind it.
+//! The home slot of a record is proportional to its digest, so that home slots and digests have the
+//! same order. A record whose home slot is taken is stored in the next free slot after it.
 
 use crate::flow_binding::BindingIndex;
 use crate::flow_table::SEGMENTS;
 use crate::ids::FlowDigest;
 use crate::ids::HostId;
 
-/// Host number that stands for no copy in a packed record.
-pub const NO_HOST: HostId = HostId::MAX;
-
-/// Fewest homes of a segment that holds anything.
-const MIN_HOMES: usize = 8;
-/// Fewest places after the last home, for records that collide there.
-const MIN_SPARES: usize = 6;
-/// One more spare place for each so many homes.
-const HOMES_PER_SPARE: usize = 24;
-/// Largest share of homes in use, in percent; more would lengthen the runs of a hit.
-const MAX_LOAD: usize = 80;
-/// Homes after growth, in percent of those before; keeps two thirds of the places in use.
-const GROWTH: usize = 118;
-/// Share of homes in use below which a segment is packed anew, in percent.
-const MIN_LOAD: usize = 40;
-
-/// A flow's record, packed. Invariant: 32 bytes; `deadline` is zero exactly when a place is free.
+/// Value of `copy_host` in a packed record that has no copy.
+pub const NO_COPY_HOST: HostId = HostId::MAX;
+
+/// Minimum number of home slots of a segment that holds records.
+const MIN_HOME_SLOTS: usize = 8;
+/// Minimum number of slots after the last home slot, for records that collide there.
+const MIN_SPARE_SLOTS: usize = 6;
+/// Number of home slots for which one more spare slot is added.
+const HOME_SLOTS_PER_SPARE: usize = 24;
+/// Maximum load of the home slots, in percent. A larger one would lengthen the probe sequence of a
+/// hit.
+const MAX_LOAD_PERCENT: usize = 80;
+/// Number of home slots after growth, in percent of the number before. It keeps about two thirds of
+/// all slots in use.
+const GROWTH_PERCENT: usize = 118;
+/// Load of the home slots below which a segment is shrunk, in percent.
+const MIN_LOAD_PERCENT: usize = 40;
+
+/// A packed flow record. Invariant: it takes 32 bytes; `deadline` is zero exactly for a free slot.
 #[derive(Clone, Copy, Debug)]
 pub struct PackedFlow {
-    /// Identity of the flow.
+    /// Digest of the flow.
     pub digest: FlowDigest,
-    /// Position of its binding.
+    /// Index of its binding in the table's [`crate::flow_binding::BindingTable`].
     pub binding: BindingIndex,
-    /// Its idle deadline in units of the table, at least 1.
+    /// Idle deadline in the table's deadline units, at least 1.
     pub deadline: u32,
-    /// The host that holds a copy, or [`NO_HOST`].
+    /// The host that confirmed a copy, or [`NO_COPY_HOST`].
     pub copy_host: HostId,
-    /// The copying period of that copy.
-    pub copy_period: u16,
+    /// The copy epoch in which the host confirmed it.
+    pub copy_epoch: u16,
 }
 
 const FREE: PackedFlow = PackedFlow {
     digest: 0,
     binding: 0,
     deadline: 0,
-    copy_host: NO_HOST,
-    copy_period: 0,
+    copy_host: NO_COPY_HOST,
+    copy_epoch: 0,
 };
 
 /// The records of one segment.
 ///
-/// Invariant: `slots` has a place for each home and the spares behind them; the records stand in
-/// ascending order of digest, none before its home, with no free place between home and record.
+/// Invariant: `slots` contains one slot per home slot, followed by the spare slots. The records are
+/// in ascending order of digest. No record is before its home slot, and no free slot lies between a
+/// record and its home slot.
 #[derive(Clone, Debug, Default)]
 pub struct FlowSegment {
     slots: Vec<PackedFlow>,
-    homes: usize,
+    home_slots: usize,
     len: usize,
 }
 
 impl FlowSegment {
-    /// The record of a flow.
+    /// Returns the record of a flow.
     pub fn get(&self, digest: FlowDigest) -> Option<&PackedFlow> {
         let position = self.find(digest)?;
         self.slots.get(position)
     }
 
-    /// The record of a flow, to be changed; its digest and binding must stay.
+    /// Returns the record of a flow for modification. Its digest and binding must not be changed.
     pub fn get_mut(&mut self, digest: FlowDigest) -> Option<&mut PackedFlow> {
         let position = self.find(digest)?;
         self.slots.get_mut(position)
     }
 
-    /// Adds or replaces a record; returns the one replaced and how many were moved.
+    /// Inserts or replaces a record. Returns the replaced record and the number of records moved.
     pub fn insert(&mut self, packed: PackedFlow) -> (Option<PackedFlow>, usize) {
-        if let Some(present) = self.get_mut(packed.digest) {
-            return (Some(std::mem::replace(present, packed)), 0);
+        if let Some(existing) = self.get_mut(packed.digest) {
+            return (Some(std::mem::replace(existing, packed)), 0);
         }
         let mut moved = 0;
-        if (self.len + 1) * 100 > self.homes * MAX_LOAD {
-            moved += self.rebuild(self.grown_homes());
+        if (self.len + 1) * 100 > self.home_slots * MAX_LOAD_PERCENT {
+            moved += self.rebuild(self.grown_home_slots());
         }
         loop {
             if let Some(shifted) = self.place(packed) {
                 return (None, moved + shifted);
             }
-            moved += self.rebuild(self.grown_homes());
+            moved += self.rebuild(self.grown_home_slots());
         }
     }
 
-    /// Removes a record.
+    /// Removes and returns a record.
     pub fn remove(&mut self, digest: FlowDigest) -> Option<PackedFlow> {
         let mut position = self.find(digest)?;
         let removed = self.slots[position];
         while let Some(next) = self.slots.get(position + 1).copied() {
-            if next.deadline == 0 || self.home(next.digest) > position {
+            if next.deadline == 0 || self.home_slot(next.digest) > position {
                 break;
             }
             self.slots[position] = next;
@@ -104,63 +108,64 @@
         Some(removed)
     }
 
-    /// Gives back memory after many removals.
+    /// Releases memory after many removals.
     pub fn shrink(&mut self) {
-        if self.homes > MIN_HOMES && self.len * 100 < self.homes * MIN_LOAD {
-            let homes = self.len * 100 / MAX_LOAD * GROWTH / 100;
-            self.rebuild(homes.max(MIN_HOMES));
+        if self.home_slots > MIN_HOME_SLOTS && self.len * 100 < self.home_slots * MIN_LOAD_PERCENT {
+            let home_slots = self.len * 100 / MAX_LOAD_PERCENT * GROWTH_PERCENT / 100;
+            self.rebuild(home_slots.max(MIN_HOME_SLOTS));
         }
     }
 
-    /// The records in ascending order of digest.
+    /// Returns the records in ascending order of digest.
     pub fn iter(&self) -> impl Iterator<Item = &PackedFlow> + Clone {
         self.slots.iter().filter(|packed| packed.deadline != 0)
     }
 
-    /// How many records are held.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no record is held.
+    /// Returns whether the segment has no records.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes that the places take.
+    /// Returns the memory of all slots in bytes.
     pub fn bytes(&self) -> usize {
         self.slots.capacity() * size_of::<PackedFlow>()
     }
 
-    /// The home follows the digest's bits after those that chose the segment.
-    fn home(&self, digest: FlowDigest) -> usize {
+    /// Returns the home slot of a digest, from the bits that follow those that select the segment.
+    fn home_slot(&self, digest: FlowDigest) -> usize {
         let within = ((digest << SEGMENTS.ilog2()) >> 64) as u64;
-        ((u128::from(within) * self.homes as u128) >> 64) as usize
+        ((u128::from(within) * self.home_slots as u128) >> 64) as usize
     }
 
     fn find(&self, digest: FlowDigest) -> Option<usize> {
-        let home = self.home(digest);
-        let run = self.slots.get(home..)?;
-        for (offset, packed) in run.iter().enumerate() {
+        let home_slot = self.home_slot(digest);
+        let candidates = self.slots.get(home_slot..)?;
+        for (offset, packed) in candidates.iter().enumerate() {
             if packed.deadline == 0 || packed.digest > digest {
                 return None;
             }
             if packed.digest == digest {
-                return Some(home + offset);
+                return Some(home_slot + offset);
             }
         }
         None
     }
 
-    /// Puts a new record in its place and moves those behind it; `None` if the spares are full.
+    /// Stores a new record in digest order and shifts the records after it. Returns the number of
+    /// shifted records, or `None` if no free slot follows.
     fn place(&mut self, packed: PackedFlow) -> Option<usize> {
-        let home = self.home(packed.digest);
-        let run = self.slots.get(home..)?;
-        let before = run
+        let home_slot = self.home_slot(packed.digest);
+        let candidates = self.slots.get(home_slot..)?;
+        let before = candidates
             .iter()
             .take_while(|other| other.deadline != 0 && other.digest < packed.digest)
             .count();
-        let start = home + before;
+        let start = home_slot + before;
         let shifted = self.slots[start..]
             .iter()
             .position(|other| other.deadline == 0)?;
@@ -170,20 +175,22 @@
         Some(shifted)
     }
 
-    fn grown_homes(&self) -> usize {
-        (self.homes * GROWTH / 100).max(self.homes + MIN_HOMES)
+    fn grown_home_slots(&self) -> usize {
+        (self.home_slots * GROWTH_PERCENT / 100).max(self.home_slots + MIN_HOME_SLOTS)
     }
 
-    /// Moves every record into a new array; returns how many.
-    fn rebuild(&mut self, homes: usize) -> usize {
-        let spares = MIN_SPARES + homes / HOMES_PER_SPARE;
-        let slots = vec![FREE; homes + spares];
-        let former = std::mem::replace(&mut self.slots, slots);
-        self.homes = homes;
+    /// Moves every record into a new array with `home_slots` home slots. Returns the number of
+    /// records.
+    fn rebuild(&mut self, home_slots: usize) -> usize {
+        let spare_slots = MIN_SPARE_SLOTS + home_slots / HOME_SLOTS_PER_SPARE;
+        let slots = vec![FREE; home_slots + spare_slots];
+        let previous = std::mem::replace(&mut self.slots, slots);
+        self.home_slots = home_slots;
         self.len = 0;
         let mut moved = 0;
-        for packed in former.into_iter().filter(|packed| packed.deadline != 0) {
-            // In ascending order a record never moves another, so that only the spares can fail.
+        for packed in previous.into_iter().filter(|packed| packed.deadline != 0) {
+            // Records inserted in ascending order never shift others, so an insertion fails only if
+            // the spare slots are full.
             if self.place(packed).is_none() {
                 self.slots.reserve_exact(1);
                 self.slots.push(packed);
--- a/lib/src/flow_sweep.rs
+++ b/lib/src/flow_sweep.rs
@@ -1,18 +1,20 @@
-//! The walk over a host's flows that finds those its heirs could not derive.
+//! The periodic sweep over a host's flows that finds those whose binding the successor could not
+//! derive.
 //!
-//! It runs after a change of the tables, of the owners or of what a peer knows, a few segments a
-//! tick, and ends with a baseline to each heir for whom nothing is left to copy.
+//! A sweep starts after a change of the placement tables, of the owners or of what a peer knows. It
+//! processes a few segments per tick. At its end, the host announces its baseline to each successor
+//! that has no flow left to copy.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::flow_directory::FlowCommand;
 use crate::flow_directory::FlowDirectory;
-use crate::flow_directory::FlowOrder;
 use crate::flow_handover::CopyUrgency;
 use crate::flow_handover::HandoverBatch;
 use crate::flow_message::FlowMessage;
-use crate::flow_message::FlowNote;
+use crate::flow_message::FlowRecordEntry;
 use crate::flow_table::CopyMark;
 use crate::flow_table::HeldFlow;
 use crate::flow_table::SEGMENTS;
@@ -22,106 +24,109 @@
 use crate::placement_table::PlacementTable;
 use crate::placement_table::TableId;
 
-/// Segments walked in a tick: 300,000 flows take 2.6 s, at about 1,200 flows a tick.
-const SEGMENTS_A_TICK: usize = 4;
-/// How long a record stays after its new owner is known to find the flow without it.
+/// Segments swept per tick. A sweep of 300,000 flows takes 2.6 s, at about 1,200 flows per tick.
+const SEGMENTS_PER_TICK: usize = 4;
+/// Time for which a record is kept after its new owner is known to derive the flow without it.
 const RELEASE_GRACE: Duration = Duration::from_secs(120);
-/// Copies are renewed this often in the time that a silent flow is kept.
-const RENEWALS: u32 = 2;
+/// Number of times that copies are renewed within the idle timeout of a flow.
+const RENEWALS_PER_IDLE_TIMEOUT: u32 = 2;
 
-/// How far the walk has come.
+/// Progress of the current sweep.
 #[derive(Clone, Debug, Default)]
 pub struct SweepState {
-    /// The next segment, or `None` while nothing has changed.
+    /// The next segment, or `None` if nothing has changed since the last sweep.
     next: Option<usize>,
-    /// For whom and which services this walk has found something that is not copied yet.
-    dirty: BTreeSet<(HostId, ServiceId)>,
-    /// Whether this walk has made copies flows of this host, which it may have passed already.
-    adopted: bool,
-    /// Whether the last walk left something to copy, so that another must follow.
+    /// Hosts and services for which this sweep found flows that are not copied yet.
+    uncopied: BTreeSet<(HostId, ServiceId)>,
+    /// Whether this sweep moved copies into the host's own flows, in segments that it may have
+    /// passed.
+    promoted_copies: bool,
+    /// Whether the last sweep left flows to copy, so that another sweep must follow.
     unfinished: bool,
 }
 
 impl SweepState {
-    /// Begins the walk anew: what was found may have changed.
+    /// Restarts the sweep because earlier results may be outdated.
     pub fn restart(&mut self) {
         self.next = Some(0);
-        self.dirty.clear();
-        self.adopted = false;
+        self.uncopied.clear();
+        self.promoted_copies = false;
     }
 
-    /// Whether the last walk found everything copied and nothing has changed since.
+    /// Returns whether the last sweep found every flow covered and nothing has changed since.
     pub fn is_clean(&self) -> bool {
         self.next.is_none() && !self.unfinished
     }
 }
 
 impl FlowDirectory {
-    /// Lets time pass; to be called each tick.
-    pub fn tick(&mut self, now: Instant, orders: &mut Vec<FlowOrder>) {
+    /// Expires records and runs the periodic work. Must be called on each tick.
+    pub fn tick(&mut self, now: Instant, commands: &mut Vec<FlowCommand>) {
         self.flows.expire(now);
         self.copies.expire(now);
-        self.book.expire(now);
-        self.greet(now, orders);
-        self.renew(now);
-        self.walk(now);
-        self.end_questions(now, orders);
-        self.send_batches(now, orders);
+        self.baselines.expire(now);
+        self.send_hellos(now, commands);
+        self.renew_copies_when_due(now);
+        self.sweep_next_segments(now);
+        self.process_query_timers(now, commands);
+        self.send_batches(now, commands);
     }
 
-    fn renew(&mut self, now: Instant) {
-        let period = self.settings.flow_idle / RENEWALS;
-        let deadline = *self.renew_deadline.get_or_insert(now + period);
+    fn renew_copies_when_due(&mut self, now: Instant) {
+        let interval = self.settings.flow_idle / RENEWALS_PER_IDLE_TIMEOUT;
+        let deadline = *self.renew_deadline.get_or_insert(now + interval);
         if deadline <= now {
-            self.renew_deadline = Some(now + period);
+            self.renew_deadline = Some(now + interval);
             self.handover.renew_copies();
             self.sweep.restart();
         }
     }
 
-    fn walk(&mut self, now: Instant) {
+    fn sweep_next_segments(&mut self, now: Instant) {
         if self.sweep.next.is_none() && self.sweep.unfinished && self.handover.is_idle() {
             self.sweep.restart();
         }
         let Some(first) = self.sweep.next else {
             return;
         };
-        let end = SEGMENTS.min(first + SEGMENTS_A_TICK);
+        let end = SEGMENTS.min(first + SEGMENTS_PER_TICK);
         for segment in first..end {
-            self.walk_flows(now, segment);
-            self.walk_copies(now, segment);
+            self.sweep_flows(now, segment);
+            self.sweep_copies(now, segment);
         }
         self.sweep.next = (end < SEGMENTS).then_some(end);
         if self.sweep.next.is_none() {
-            self.end_walk();
+            self.finish_sweep();
         }
     }
 
-    fn walk_flows(&mut self, now: Instant, segment: usize) {
-        let held: Vec<HeldFlow> = self.flows.segment(segment).collect();
-        for flow in held {
-            let Some(heir) = self.view.heir(flow.digest) else {
+    fn sweep_flows(&mut self, now: Instant, segment: usize) {
+        let segment_flows: Vec<HeldFlow> = self.flows.segment(segment).collect();
+        for flow in segment_flows {
+            let Some(successor) = self.view.successor(flow.digest) else {
                 continue;
             };
             let binding = flow.record.binding;
-            let copied = self.is_copied(heir, flow.mark);
-            let found = copied || self.heir_derives(heir, flow.digest, binding);
-            if !found {
-                self.sweep.dirty.insert((heir, binding.service));
-                let urgency = self.urgency(heir, &flow);
-                self.handover.copy(heir, flow.digest, urgency);
+            let copied = self.is_copied(successor, flow.mark);
+            let is_covered = copied || self.successor_derives(successor, flow.digest, binding);
+            if !is_covered {
+                self.sweep.uncopied.insert((successor, binding.service));
+                let urgency = self.urgency(successor, &flow);
+                self.handover.queue_copy(successor, flow.digest, urgency);
             } else if self.view.owner(flow.digest) != self.view.host {
-                self.release(now, heir, &flow, copied);
+                self.release(now, successor, &flow, copied);
             }
         }
     }
 
-    /// Ends this host's part in a flow that its owner holds or derives. An exception becomes a copy,
-    /// for this host may be its owner's heir; the others need no record any more.
+    /// Gives up the record of a flow that its owner holds or derives.
     ///
-    /// A leaving host keeps its records to the end. While it copies, which may take minutes, tables
-    /// may change, and those who take its flows over learn of a table that only silent flows follow
-    /// when it has gone, not before.
+    /// A copied flow is kept as a copy, because this host may be the owner's successor. Other flows
+    /// need no record any more.
+    ///
+    /// A leaving host keeps its records until it stops. Copying may take minutes, in which the
+    /// tables may change, and the hosts that take its flows over learn of a table that only idle
+    /// flows follow only once the host has stopped.
     fn release(&mut self, now: Instant, owner: HostId, flow: &HeldFlow, copied: bool) {
         let service = flow.record.binding.service;
         if copied {
@@ -129,95 +134,101 @@
             self.copies.insert(now, flow.digest, flow.record);
             let mark = CopyMark {
                 host: owner,
-                period: self.handover.life(owner),
+                epoch: self.handover.process_epoch(owner),
             };
             self.copies.mark_copied(flow.digest, mark);
-        } else if self.view.is_eligible() && self.handover.told(owner, service).is_some() {
+        } else if self.view.is_eligible()
+            && self.handover.confirmed_tables(owner, service).is_some()
+        {
             self.flows.limit_deadline(flow.digest, now + RELEASE_GRACE);
         }
     }
 
-    /// A copy whose owner is gone becomes this host's flow; one whose owner is a process that
-    /// never had it goes to that process, which would otherwise derive it wrongly.
-    fn walk_copies(&mut self, now: Instant, segment: usize) {
-        let held: Vec<HeldFlow> = self.copies.segment(segment).collect();
-        for flow in held {
+    /// Sweeps the copies of one segment. A copy whose owner is gone becomes a flow of this host. A
+    /// copy whose owner is a process that never received it is sent to that process, which would
+    /// otherwise derive a wrong upstream.
+    fn sweep_copies(&mut self, now: Instant, segment: usize) {
+        let segment_flows: Vec<HeldFlow> = self.copies.segment(segment).collect();
+        for flow in segment_flows {
             let owner = self.view.owner(flow.digest);
             if owner == self.view.host {
                 self.copies.remove(flow.digest);
                 if self.flows.get(now, flow.digest).is_none() {
                     self.flows.insert(now, flow.digest, flow.record);
-                    self.sweep.adopted = true;
+                    self.sweep.promoted_copies = true;
                 }
                 continue;
             }
             let mark = CopyMark {
                 host: owner,
-                period: self.handover.life(owner),
+                epoch: self.handover.process_epoch(owner),
             };
             if flow.mark != Some(mark) {
                 let service = flow.record.binding.service;
-                self.sweep.dirty.insert((owner, service));
-                self.handover.copy(owner, flow.digest, CopyUrgency::Now);
+                self.sweep.uncopied.insert((owner, service));
+                self.handover
+                    .queue_copy(owner, flow.digest, CopyUrgency::Urgent);
             }
         }
     }
 
-    fn is_copied(&self, heir: HostId, mark: Option<CopyMark>) -> bool {
+    fn is_copied(&self, successor: HostId, mark: Option<CopyMark>) -> bool {
         mark == Some(CopyMark {
-            host: heir,
-            period: self.handover.epoch(heir),
+            host: successor,
+            epoch: self.handover.copy_epoch(successor),
         })
     }
 
-    /// A record whose heir would derive another upstream now goes before one that differs only
-    /// from the next baseline.
-    fn urgency(&self, heir: HostId, flow: &HeldFlow) -> CopyUrgency {
+    /// Returns how urgently a record must be copied. Records for which the successor would derive
+    /// another upstream now precede those for which only the next baseline would.
+    fn urgency(&self, successor: HostId, flow: &HeldFlow) -> CopyUrgency {
         let binding = flow.record.binding;
-        let told = self.handover.told(heir, binding.service);
-        let derives = told.is_some_and(|tables| {
+        let confirmed_tables = self.handover.confirmed_tables(successor, binding.service);
+        let derives = confirmed_tables.is_some_and(|tables| {
             tables.iter().all(|id| {
                 let table = self.tables.find(binding.service, *id);
                 table.is_some_and(|table| table.place(flow.digest) == Some(binding))
             })
         });
         if derives {
-            CopyUrgency::Later
+            CopyUrgency::Deferred
         } else {
-            CopyUrgency::Now
+            CopyUrgency::Urgent
         }
     }
 
-    fn end_walk(&mut self) {
-        // A leaving host is told as well: it must copy what these tables place elsewhere.
+    fn finish_sweep(&mut self) {
+        // Leaving hosts are included because they must copy the flows that these tables place
+        // elsewhere.
         let peers = self.view.reachable.clone();
-        for heir in peers {
+        for successor in peers {
             let services: Vec<ServiceId> = self.tables.services().collect();
             for service in services {
-                if !self.sweep.dirty.contains(&(heir, service)) {
+                if !self.sweep.uncopied.contains(&(successor, service)) {
                     let tables = self.baseline(service);
-                    self.handover.announce(heir, service, tables);
+                    self.handover.queue_tables(successor, service, tables);
                 }
             }
         }
-        self.sweep.unfinished = !self.sweep.dirty.is_empty() || self.sweep.adopted;
-        self.sweep.dirty.clear();
+        self.sweep.unfinished = !self.sweep.uncopied.is_empty() || self.sweep.promoted_copies;
+        self.sweep.uncopied.clear();
     }
 
-    /// The tables that flows held here may follow: the one in force, then those of hosts that are
-    /// gone, whose silent flows this host answers for.
+    /// Returns the tables that flows held here may follow, newest first: the table in force, then
+    /// the tables of hosts that are gone and whose idle flows this host answers for.
     pub(crate) fn baseline(&self, service: ServiceId) -> Vec<TableId> {
         let newest = self.tables.newest(service).map(PlacementTable::id);
-        // A host that took flows over by joining answers for the silent ones among them, and so for
-        // whatever its elders still keep.
-        let elders = self.elders.iter();
-        let inherited = elders.filter_map(|elder| self.book.present(*elder, service));
-        let former = self.book.former(service);
-        let sets = former.map(|former| former.tables.as_slice());
+        // A host that took flows over by joining also answers for the idle ones, and therefore for
+        // the tables that their previous owners still keep.
+        let previous_owners = self.previous_owners.iter();
+        let inherited = previous_owners
+            .filter_map(|previous_owner| self.baselines.current(*previous_owner, service));
+        let previous = self.baselines.previous(service);
+        let sets = previous.map(|previous| previous.tables.as_slice());
         let mut oldest_first: Vec<TableId> = Vec::new();
         for id in sets.chain(inherited).flat_map(|tables| tables.iter().rev()) {
-            // The first place counts, so that the order, and with it what peers are told, settles
-            // however often the same tables come again.
+            // Only the first occurrence is kept, so that the order, and with it the announced
+            // baseline, stays stable when the same tables are announced repeatedly.
             if Some(*id) != newest && !oldest_first.contains(id) {
                 oldest_first.push(*id);
             }
@@ -226,24 +237,24 @@
         newest.into_iter().chain(newest_first).collect()
     }
 
-    fn send_batches(&mut self, now: Instant, orders: &mut Vec<FlowOrder>) {
+    fn send_batches(&mut self, now: Instant, commands: &mut Vec<FlowCommand>) {
         for (host, batch) in self.handover.due(now) {
             let message = match batch {
                 HandoverBatch::Records(sequence, digests) => FlowMessage::Records {
                     sequence,
-                    notes: self.notes(now, &digests),
+                    entries: self.record_entries(now, &digests),
                 },
                 HandoverBatch::Ready(message) => message,
             };
-            self.tell(host, message, orders);
+            self.send_message(host, message, commands);
         }
     }
 
-    fn notes(&self, now: Instant, digests: &[FlowDigest]) -> Vec<FlowNote> {
-        let note = |digest: &FlowDigest| {
+    fn record_entries(&self, now: Instant, digests: &[FlowDigest]) -> Vec<FlowRecordEntry> {
+        let entry = |digest: &FlowDigest| {
             let record = self.peek(now, *digest)?;
-            Some(self.note(now, *digest, &record))
+            Some(self.record_entry(now, *digest, &record))
         };
-        digests.iter().filter_map(note).collect()
+        digests.iter().filter_map(entry).collect()
     }
 }
--- a/lib/src/flow_system.rs
+++ b/lib/src/flow_system.rs
@@ -1,13 +1,14 @@
-//! What a host does with flows: open, close, pin requests to them, exchange them with its peers.
+//! Flow handling of the host core: opens and closes flows, pins requests to them and exchanges flow
+//! messages with peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::flow_binding::FlowBinding;
+use crate::flow_directory::FlowCommand;
 use crate::flow_directory::FlowLookup;
-use crate::flow_directory::FlowOrder;
-use crate::flow_question::FlowIntent;
+use crate::flow_query::FlowIntent;
 use crate::host_action::HostAction;
 use crate::host_core::HostCore;
 use crate::host_core::reply;
@@ -17,9 +18,9 @@
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 use crate::owner_view::OwnerView;
+use crate::request_system::outcome_before_send;
 use crate::request_system::refuse;
 use crate::request_system::to_caller;
-use crate::request_system::waiting_outcome;
 use crate::request_table::RequestKey;
 use crate::request_table::RequestStage;
 use crate::result_code::ResultCode;
@@ -30,17 +31,17 @@
 use crate::wire_frame::RefusalBody;
 use crate::wire_frame::UpstreamBody;
 
-/// When to come back after a refusal because nobody could be asked where a flow lives.
-const DOUBT_RETRY: Duration = Duration::from_millis(200);
+/// Retry delay sent with a refusal when the flow's upstream could not be determined.
+const UNRESOLVED_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Where a request of a flow may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FlowPin {
-    /// Anywhere: its flow was never opened.
+    /// On any upstream, because its flow was never opened.
     Free,
-    /// Only here.
+    /// On this upstream only.
     On(UpstreamId),
-    /// It waits for an answer, or was refused.
+    /// Not known yet: the request waits for a reply from a peer, or was refused.
     Pending,
 }
 
@@ -59,20 +60,21 @@
         };
         let mut lookup = self.look_up(now, digest, service, FlowIntent::Open, actions);
         if let FlowLookup::Found(binding) = lookup
-            && self.flows.reach(binding) == UpstreamReach::Gone
+            && self.flows.reach(binding) == UpstreamReach::Replaced
         {
-            // The upstream that held it has ended, and with it the flow; this opens a new one.
+            // The upstream process that held the flow has ended, and the flow with it. This frame
+            // opens a new one.
             self.flows.close(digest);
             lookup = self.look_up(now, digest, service, FlowIntent::Open, actions);
         }
         match lookup {
-            FlowLookup::Asking => self.parked.park_open(digest, caller, frame),
+            FlowLookup::Querying => self.parked.park_open(digest, caller, frame),
             lookup => self.confirm_open(caller, frame, service, lookup, actions),
         }
     }
 
-    /// Answers an `Open`. The upstream is told each time, since a request that overtook the first
-    /// `Open` has made the record already.
+    /// Confirms an `Open` to the caller. The upstream is notified every time, because a request
+    /// that arrived before the first `Open` may have created the record.
     fn confirm_open(
         &mut self,
         caller: SocketAddr,
@@ -86,10 +88,10 @@
             FlowLookup::Found(_other_service) => {
                 return refuse(caller, frame, None, ResultCode::FlowUnknown, actions);
             }
-            FlowLookup::Absent => {
+            FlowLookup::NotFound => {
                 return refuse(caller, frame, None, ResultCode::NoUpstream, actions);
             }
-            FlowLookup::Asking | FlowLookup::Unsure => {
+            FlowLookup::Querying | FlowLookup::Undetermined => {
                 return refuse(caller, frame, None, ResultCode::NotOwner, actions);
             }
         };
@@ -116,10 +118,11 @@
         actions.push(to_caller(caller, reply(frame, CallerBody::Closed)));
     }
 
-    /// Finds where a request that this host has taken on may run.
+    /// Determines where an accepted request may run.
     ///
-    /// A request of an opened flow is never treated as free: on a miss the flow is derived only if
-    /// no other host can hold it, else the others are asked and the request waits meanwhile.
+    /// A request of an established flow is never treated as free. If no record exists, the binding
+    /// is derived only if no other host can hold the flow. Otherwise the other hosts are queried
+    /// and the request waits.
     pub(crate) fn pin_request(
         &mut self,
         now: Instant,
@@ -133,25 +136,25 @@
         let lookup = if established {
             self.look_up(now, key.flow, service, FlowIntent::Established, actions)
         } else {
-            match self.flows.held(now, key.flow) {
+            match self.flows.touch_or_promote(now, key.flow) {
                 Some(record) => FlowLookup::Found(record.binding),
                 None => return FlowPin::Free,
             }
         };
         match lookup {
             FlowLookup::Found(binding) => self.check_pin(key, service, binding, actions),
-            FlowLookup::Asking => {
+            FlowLookup::Querying => {
                 self.parked.park_request(key);
                 FlowPin::Pending
             }
-            FlowLookup::Absent => self.refuse_pin(key, ResultCode::FlowUnknown, actions),
-            FlowLookup::Unsure => self.refuse_pin(key, ResultCode::NotOwner, actions),
+            FlowLookup::NotFound => self.refuse_pin(key, ResultCode::FlowUnknown, actions),
+            FlowLookup::Undetermined => self.refuse_pin(key, ResultCode::NotOwner, actions),
         }
     }
 
-    /// A flow ends with the process it was opened on, and never serves another service: its
-    /// address may belong to another service, or its upstream's address to another process, since
-    /// it was opened.
+    /// Checks that a flow's binding is still valid for a request. A flow ends with the process on
+    /// which it was opened and never serves another service: since then, its service address may
+    /// have been assigned to another service, or its upstream's address to another process.
     fn check_pin(
         &mut self,
         key: RequestKey,
@@ -160,13 +163,13 @@
         actions: &mut Vec<HostAction>,
     ) -> FlowPin {
         let reach = self.flows.reach(binding);
-        if binding.service != service || reach == UpstreamReach::Gone {
+        if binding.service != service || reach == UpstreamReach::Replaced {
             self.flows.close(key.flow);
             return self.refuse_pin(key, ResultCode::FlowUnknown, actions);
         }
         match reach {
             UpstreamReach::At(_) => FlowPin::On(binding.upstream),
-            UpstreamReach::Gone | UpstreamReach::Unseen => {
+            UpstreamReach::Replaced | UpstreamReach::NotYetKnown => {
                 self.refuse_pin(key, ResultCode::NotOwner, actions)
             }
         }
@@ -182,19 +185,19 @@
             let refusal = RefusalBody {
                 request: Some(key.request),
                 code,
-                outcome: waiting_outcome(record),
-                retry_after: DOUBT_RETRY,
+                outcome: outcome_before_send(record),
+                retry_after: UNRESOLVED_RETRY_AFTER,
             };
             self.refuse_request(key, refusal, actions);
         }
         FlowPin::Pending
     }
 
-    /// The process that frames of a flow for `upstream` are meant for.
+    /// Returns the process to which frames of a flow on `upstream` must be sent.
     ///
-    /// The check stands at the sending, because a job may have waited while the configuration
-    /// changed: a flow's frames go to the process it was opened on, others only to an upstream that
-    /// carries the service now.
+    /// The check is made when a frame is sent, because a queued request may have waited while the
+    /// configuration changed. Frames of a flow go to the process on which the flow was opened;
+    /// other frames go only to an upstream that serves the service now.
     pub(crate) fn upstream_process(
         &self,
         digest: FlowDigest,
@@ -217,8 +220,8 @@
             .map(|entry| entry.incarnation)
     }
 
-    /// Tells the flow directory whom it shares flows with.
-    pub(crate) fn learn_owners(&mut self, now: Instant, actions: &mut Vec<HostAction>) {
+    /// Updates the flow directory with the hosts that own flows and those that are reachable.
+    pub(crate) fn update_owner_view(&mut self, now: Instant, actions: &mut Vec<HostAction>) {
         let host = self.settings.host;
         let members = self.membership.members().iter().copied();
         let is_heard = |other: &HostId| *other != host && self.membership.is_heard(now, *other);
@@ -227,28 +230,28 @@
             eligible: self.membership.usable().to_vec(),
             reachable: members.filter(is_heard).collect(),
         };
-        let mut orders = Vec::new();
-        self.flows.set_view(now, view, &mut orders);
-        self.carry_out_flows(now, orders, actions);
+        let mut commands = Vec::new();
+        self.flows.set_view(now, view, &mut commands);
+        self.execute_flow_commands(now, commands, actions);
     }
 
-    /// Lets the flow directory work as time passes.
+    /// Runs the periodic work of the flow directory.
     pub(crate) fn tick_flows(&mut self, now: Instant, actions: &mut Vec<HostAction>) {
-        self.learn_owners(now, actions);
-        let mut orders = Vec::new();
-        self.flows.tick(now, &mut orders);
-        self.carry_out_flows(now, orders, actions);
+        self.update_owner_view(now, actions);
+        let mut commands = Vec::new();
+        self.flows.tick(now, &mut commands);
+        self.execute_flow_commands(now, commands, actions);
     }
 
-    pub(crate) fn carry_out_flows(
+    pub(crate) fn execute_flow_commands(
         &mut self,
         now: Instant,
-        orders: Vec<FlowOrder>,
+        commands: Vec<FlowCommand>,
         actions: &mut Vec<HostAction>,
     ) {
-        for order in orders {
-            match order {
-                FlowOrder::Tell {
+        for command in commands {
+            match command {
+                FlowCommand::Tell {
                     host,
                     parties,
                     message,
@@ -256,7 +259,7 @@
                     let body = PeerBody::Flow { parties, message };
                     self.send_peer(host, 1, body, actions);
                 }
-                FlowOrder::Settled { digest, lookup } => {
+                FlowCommand::Settled { digest, lookup } => {
                     self.resume_flow(now, digest, lookup, actions);
                 }
             }
@@ -271,13 +274,15 @@
         intent: FlowIntent,
         actions: &mut Vec<HostAction>,
     ) -> FlowLookup {
-        let mut orders = Vec::new();
-        let lookup = self.flows.lookup(now, digest, service, intent, &mut orders);
-        self.carry_out_flows(now, orders, actions);
+        let mut commands = Vec::new();
+        let lookup = self
+            .flows
+            .lookup(now, digest, service, intent, &mut commands);
+        self.execute_flow_commands(now, commands, actions);
         lookup
     }
 
-    /// Goes on with what has waited for a question's end.
+    /// Resumes the frames that waited for the result of a query.
     fn resume_flow(
         &mut self,
         now: Instant,
@@ -299,10 +304,10 @@
             }
             match lookup {
                 FlowLookup::Found(_) => self.submit(now, key, actions),
-                FlowLookup::Absent => {
+                FlowLookup::NotFound => {
                     self.refuse_pin(key, ResultCode::FlowUnknown, actions);
                 }
-                FlowLookup::Asking | FlowLookup::Unsure => {
+                FlowLookup::Querying | FlowLookup::Undetermined => {
                     self.refuse_pin(key, ResultCode::NotOwner, actions);
                 }
             }
--- a/lib/src/flow_table.rs
+++ b/lib/src/flow_table.rs
@@ -1,8 +1,8 @@
-//! The flows that a host holds, by digest, in 32-byte records without an index beside them.
+//! Flow table of a host: maps flow digests to 32-byte records, without a separate index.
 //!
-//! The table is cut into segments by the digest's first bits. Each is an open-addressing array
-//! whose records stand in the order of their digests, so that a miss ends as early as a hit, and
-//! each grows alone, so that no insertion moves more than one segment.
+//! The table is divided into segments by the first bits of the digest. Each segment is an
+//! open-addressing array in ascending order of digest, so that a miss ends as early as a hit.
+//! Segments grow independently, so that an insertion never moves more than one segment.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,48 +11,50 @@
 use crate::flow_binding::BindingTable;
 use crate::flow_binding::FlowBinding;
 use crate::flow_segment::FlowSegment;
-use crate::flow_segment::NO_HOST;
+use crate::flow_segment::NO_COPY_HOST;
 use crate::flow_segment::PackedFlow;
 use crate::ids::FlowDigest;
 use crate::ids::HostId;
 use crate::ids::ServiceId;
 
-/// Into how many segments the table is cut; an insertion moves at most one of them.
+/// Number of segments. An insertion moves the records of at most one of them.
 pub const SEGMENTS: usize = 1_024;
 
 /// Unit of the deadlines in packed records.
 ///
-/// The house style stores deadlines, and so does the record: as the number of such units since the
-/// table's first insertion, rounded up, because an `Instant` takes 16 bytes. Nothing but this
-/// module sees the number.
+/// A packed deadline is the number of units since the table's first insertion, rounded up, because
+/// an `Instant` takes 16 bytes. The number is not used outside this module and
+/// [`crate::flow_segment`].
 const DEADLINE_UNIT: Duration = Duration::from_secs(1);
 
-/// One established flow.
+/// An established flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowRecord {
-    /// The service and upstream process it was opened for.
+    /// The service and upstream process for which the flow was opened.
     pub binding: FlowBinding,
-    /// When it is forgotten if nothing more is heard of it; kept to the second, rounded up.
+    /// Time at which the flow is removed if no further frame arrives; stored to the second, rounded
+    /// up.
     pub idle_deadline: Instant,
 }
 
-/// To whom and when a record was last copied.
+/// The host and epoch of a record's last copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyMark {
-    /// The host that has confirmed it.
+    /// The host that confirmed the copy.
     pub host: HostId,
-    /// The copying period in which it did, as [`crate::flow_handover`] counts them.
-    pub period: u16,
+    /// The epoch in which the host confirmed it: the copy epoch for a host's own flows, the process
+    /// epoch for copies; see [`crate::flow_handover`].
+    pub epoch: u16,
 }
 
-/// A record with what the copying of records needs.
+/// A flow record with its copy state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldFlow {
-    /// Its identity.
+    /// Digest of the flow.
     pub digest: FlowDigest,
-    /// Where it lives.
+    /// The record.
     pub record: FlowRecord,
-    /// Its last copy.
+    /// The last confirmed copy, if any.
     pub mark: Option<CopyMark>,
 }
 
@@ -62,8 +64,8 @@
     bindings: BindingTable,
     len: usize,
     /// Time of the first insertion, from which packed deadlines count.
-    epoch: Option<Instant>,
-    /// The segment that [`Self::expire`] sweeps next.
+    time_base: Option<Instant>,
+    /// The segment that the next call of [`Self::expire`] sweeps.
     cursor: usize,
 }
 
@@ -73,71 +75,71 @@
             segments: vec![FlowSegment::default(); SEGMENTS],
             bindings: BindingTable::default(),
             len: 0,
-            epoch: None,
+            time_base: None,
             cursor: 0,
         }
     }
 }
 
 impl FlowTable {
-    /// The record of a flow that is not overdue.
+    /// Returns the record of a flow that has not expired.
     pub fn get(&self, now: Instant, digest: FlowDigest) -> Option<FlowRecord> {
         let packed = self.segments[segment_of(digest)].get(digest)?;
-        let record = self.unpack(self.epoch?, packed);
+        let record = self.unpack(self.time_base?, packed);
         (now < record.idle_deadline).then_some(record)
     }
 
-    /// Where a flow lives, overdue or not.
+    /// Returns the binding of a flow, expired or not.
     pub fn binding(&self, digest: FlowDigest) -> Option<FlowBinding> {
         let packed = self.segments[segment_of(digest)].get(digest)?;
         Some(self.bindings.get(packed.binding))
     }
 
-    /// The record of a flow that is not overdue, after moving its deadline.
+    /// Extends the deadline of a flow that has not expired and returns its record.
     pub fn touch(
         &mut self,
         now: Instant,
         digest: FlowDigest,
         idle_deadline: Instant,
     ) -> Option<FlowRecord> {
-        let present = self.whole_units(now);
+        let now_units = self.whole_units(now);
         let deadline = self.pack_deadline(idle_deadline);
         let packed = self.segments[segment_of(digest)].get_mut(digest)?;
-        if packed.deadline <= present {
+        if packed.deadline <= now_units {
             return None;
         }
         packed.deadline = packed.deadline.max(deadline);
         let packed = *packed;
-        Some(self.unpack(self.epoch?, &packed))
+        Some(self.unpack(self.time_base?, &packed))
     }
 
-    /// Adds or replaces a flow; returns how many records were moved for it.
+    /// Inserts or replaces a flow. Returns the number of records moved.
     pub fn insert(&mut self, now: Instant, digest: FlowDigest, record: FlowRecord) -> usize {
-        self.epoch.get_or_insert(now);
+        self.time_base.get_or_insert(now);
         let packed = PackedFlow {
             digest,
             binding: self.bindings.acquire(record.binding),
             deadline: self.pack_deadline(record.idle_deadline).max(1),
-            copy_host: NO_HOST,
-            copy_period: 0,
+            copy_host: NO_COPY_HOST,
+            copy_epoch: 0,
         };
         let (replaced, moved) = self.segments[segment_of(digest)].insert(packed);
         match replaced {
-            Some(former) => self.bindings.release(former.binding),
+            Some(previous) => self.bindings.release(previous.binding),
             None => self.len += 1,
         }
         moved
     }
 
-    /// Removes a flow and returns what was known of it.
+    /// Removes a flow and returns its record.
     pub fn remove(&mut self, digest: FlowDigest) -> Option<FlowRecord> {
         let packed = self.segments[segment_of(digest)].remove(digest)?;
-        let record = self.unpack(self.epoch?, &packed);
+        let record = self.unpack(self.time_base?, &packed);
         self.forget(packed.binding);
         Some(record)
     }
 
-    /// Brings a flow's deadline forward.
+    /// Moves a flow's deadline to `latest` if it is later.
     pub fn limit_deadline(&mut self, digest: FlowDigest, latest: Instant) {
         let latest = self.pack_deadline(latest).max(1);
         if let Some(packed) = self.segments[segment_of(digest)].get_mut(digest) {
@@ -145,35 +147,35 @@
         }
     }
 
-    /// Notes that a flow's record was copied.
+    /// Records that a flow's record was copied.
     pub fn mark_copied(&mut self, digest: FlowDigest, mark: CopyMark) {
         if let Some(packed) = self.segments[segment_of(digest)].get_mut(digest) {
             packed.copy_host = mark.host;
-            packed.copy_period = mark.period;
+            packed.copy_epoch = mark.epoch;
         }
     }
 
-    /// The flows of one segment, in ascending order of digest.
+    /// Returns the flows of one segment, in ascending order of digest.
     pub fn segment(&self, segment: usize) -> impl Iterator<Item = HeldFlow> + '_ {
         let records = self.segments[segment].iter();
-        self.epoch.into_iter().flat_map(move |epoch| {
+        self.time_base.into_iter().flat_map(move |time_base| {
             records.clone().map(move |packed| HeldFlow {
                 digest: packed.digest,
-                record: self.unpack(epoch, packed),
+                record: self.unpack(time_base, packed),
                 mark: copy_mark(packed),
             })
         })
     }
 
-    /// Forgets the overdue flows of the next segment, so that all are swept once in
-    /// [`SEGMENTS`] calls; returns how many were looked at.
+    /// Removes the expired flows of the next segment, so that [`SEGMENTS`] calls sweep the whole
+    /// table. Returns the number of records examined.
     pub fn expire(&mut self, now: Instant) -> usize {
-        let present = self.whole_units(now);
+        let now_units = self.whole_units(now);
         let segment = &mut self.segments[self.cursor];
-        let looked_at = segment.len();
+        let examined = segment.len();
         let overdue: Vec<PackedFlow> = segment
             .iter()
-            .filter(|packed| packed.deadline <= present)
+            .filter(|packed| packed.deadline <= now_units)
             .copied()
             .collect();
         for packed in &overdue {
@@ -184,30 +186,30 @@
             self.forget(packed.binding);
         }
         self.cursor = (self.cursor + 1) % SEGMENTS;
-        looked_at
+        examined
     }
 
-    /// How many flows a binding has.
+    /// Returns the number of flows of a binding.
     pub fn flows_on(&self, binding: FlowBinding) -> u32 {
         self.bindings.flows(binding)
     }
 
-    /// How many flows a service has.
+    /// Returns the number of flows of a service.
     pub fn service_flows(&self, service: ServiceId) -> u32 {
         self.bindings.service_flows(service)
     }
 
-    /// How many flows are held.
+    /// Returns the number of flows.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no flow is held.
+    /// Returns whether the table has no flows.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes that the records and segments take.
+    /// Returns the memory of records and segments in bytes.
     pub fn bytes(&self) -> usize {
         let segments = SEGMENTS * size_of::<FlowSegment>();
         let records: usize = self.segments.iter().map(FlowSegment::bytes).sum();
@@ -219,35 +221,37 @@
         self.len -= 1;
     }
 
-    fn unpack(&self, epoch: Instant, packed: &PackedFlow) -> FlowRecord {
+    fn unpack(&self, time_base: Instant, packed: &PackedFlow) -> FlowRecord {
         FlowRecord {
             binding: self.bindings.get(packed.binding),
-            idle_deadline: epoch + DEADLINE_UNIT * packed.deadline,
+            idle_deadline: time_base + DEADLINE_UNIT * packed.deadline,
         }
     }
 
-    /// Units from the epoch to a deadline, rounded up.
+    /// Returns the units from the time base to a deadline, rounded up.
     fn pack_deadline(&self, deadline: Instant) -> u32 {
         self.whole_units(deadline + DEADLINE_UNIT - Duration::from_nanos(1))
     }
 
-    /// Whole units that have passed between the epoch and an instant.
+    /// Returns the whole units between the time base and `at`.
     fn whole_units(&self, at: Instant) -> u32 {
-        let since_epoch = self.epoch.map(|epoch| at.saturating_duration_since(epoch));
-        let units = since_epoch.unwrap_or_default().as_secs();
+        let since_base = self
+            .time_base
+            .map(|time_base| at.saturating_duration_since(time_base));
+        let units = since_base.unwrap_or_default().as_secs();
         u32::try_from(units).unwrap_or(u32::MAX)
     }
 }
 
 fn copy_mark(packed: &PackedFlow) -> Option<CopyMark> {
-    (packed.copy_host != NO_HOST).then_some(CopyMark {
+    (packed.copy_host != NO_COPY_HOST).then_some(CopyMark {
         host: packed.copy_host,
-        period: packed.copy_period,
+        epoch: packed.copy_epoch,
     })
 }
 
-/// Segments follow the digest's upper half; owners follow its lower half, so that the flows of one
-/// owner fill all segments evenly.
+/// Returns the segment of a digest. Segments follow the upper half of the digest and owners the
+/// lower half, so that the flows of one owner are spread evenly over all segments.
 fn segment_of(digest: FlowDigest) -> usize {
     (digest >> (FlowDigest::BITS - SEGMENTS.ilog2())) as usize
 }
--- a/lib/src/host_core.rs
+++ b/lib/src/host_core.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::cell_heartbeat::CellHeartbeat;
 use crate::config_snapshot::ConfigSnapshot;
 use crate::config_snapshot::HostView;
 use crate::flow_directory::DirectorySettings;
 use crate::flow_directory::FlowDirectory;
 use crate::flow_hash::FlowHasher;
+use crate::group_heartbeat::GroupHeartbeat;
 use crate::host_action::HostAction;
 use crate::host_event::HostEvent;
 use crate::host_status::HostStatus;
@@ -25,19 +25,19 @@
 use crate::ids::Version;
 use crate::load_policy::LoadDecision;
 use crate::load_policy::LoadPolicy;
-use crate::membership::CLAIM_LENGTH;
-use crate::membership::CLAIM_MARGIN;
+use crate::membership::CLOCK_DRIFT_MARGIN;
+use crate::membership::LEASE_DURATION;
 use crate::membership::Membership;
-use crate::owner_rank::flow_cell;
+use crate::owner_rank::flow_group;
 use crate::owner_rank::flow_owner;
 use crate::parked_frames::ParkedFrames;
 use crate::request_system::FrameOrigin;
-use crate::request_system::waiting_outcome;
+use crate::request_system::outcome_before_send;
 use crate::request_table::RequestKey;
 use crate::request_table::RequestStage;
 use crate::request_table::RequestTable;
 use crate::result_code::ResultCode;
-use crate::takeover_system::aged_frame;
+use crate::takeover_system::with_elapsed_time;
 use crate::wire_frame::CallerBody;
 use crate::wire_frame::CallerFrame;
 use crate::wire_frame::PeerBody;
@@ -142,14 +142,14 @@
             }
             HostEvent::PeerFrame(frame) => self.take_peer(now, frame, actions),
             HostEvent::UpstreamFrame { source, frame } => {
-                self.take_upstream(now, source, frame, actions);
+                self.handle_upstream_frame(now, source, frame, actions);
             }
             HostEvent::Config(config) => self.put_in_force(now, config),
             HostEvent::Hosts(hosts) => {
                 self.membership.learn_hosts(now, &hosts);
                 self.tell_hosts(now);
             }
-            HostEvent::UpstreamReport(report) => self.policy.learn_report(now, report),
+            HostEvent::UpstreamReport(report) => self.policy.handle_report(now, report),
             HostEvent::Drain => self.start_drain(now, actions),
             HostEvent::Tick => {
                 self.tick(now, actions);
@@ -158,7 +158,7 @@
         }
         if self.membership.usable() != self.policy_view.alive {
             self.tell_hosts(now);
-            self.learn_owners(now, actions);
+            self.update_owner_view(now, actions);
         }
     }
 
@@ -188,7 +188,7 @@
     /// Since when this host has been the only one that may take on requests of a flow that may not
     /// run twice; `None` if it may not at present.
     pub fn acts_since(&self, now: Instant, flow: FlowDigest) -> Option<Instant> {
-        self.acting_since(now, flow)
+        self.accepting_since(now, flow)
     }
 
     /// How many flows this host owns.
@@ -239,10 +239,10 @@
         let is_limited = hops >= MAX_HOPS || view > self.membership.view().version;
         let is_final = is_limited && !self.draining;
         if is_recorded || is_final || target == self.settings.host {
-            self.own_caller_frame(now, origin, digest, &frame, actions);
+            self.handle_owned_frame(now, origin, digest, &frame, actions);
             return;
         }
-        let frame = aged_frame(frame, now, origin.read, Duration::ZERO);
+        let frame = with_elapsed_time(frame, now, origin.read, Duration::ZERO);
         let hops = MAX_HOPS.min(hops + 1);
         self.send_caller_frame(target, hops, caller, frame, actions);
     }
@@ -266,7 +266,7 @@
         let CallerBody::Request(request) = body else {
             return false;
         };
-        let is_dated = origin.read.is_some() && !self.membership.reads_backlog(now);
+        let is_dated = origin.read.is_some() && !self.membership.may_read_backlog(now);
         !request.idempotent && !is_dated
     }
 
@@ -307,28 +307,28 @@
                 };
                 self.route_caller(now, origin, inner, view, actions);
             }
-            PeerBody::FromUpstream(inner) => self.match_answer(now, inner, actions),
+            PeerBody::FromUpstream(inner) => self.handle_owned_upstream_frame(now, inner, actions),
             PeerBody::Load(message) => {
                 let mut decisions = Vec::new();
                 self.policy
-                    .take_message(now, sender, &message, &mut decisions);
+                    .handle_message(now, sender, &message, &mut decisions);
                 self.carry_out(now, decisions, actions);
             }
             PeerBody::Heartbeat(heartbeat) => self.membership.take(now, sender, &heartbeat),
             PeerBody::Flow { parties, message } => {
-                let mut orders = Vec::new();
+                let mut commands = Vec::new();
                 self.flows
-                    .take_message(now, sender, parties, &message, &mut orders);
-                self.carry_out_flows(now, orders, actions);
+                    .handle_message(now, sender, parties, &message, &mut commands);
+                self.execute_flow_commands(now, commands, actions);
             }
-            PeerBody::Query(query) => self.take_query(now, sender, &query, actions),
-            PeerBody::Reply(reply) => self.take_reply(now, sender, &reply, actions),
+            PeerBody::Query(query) => self.handle_query(now, sender, &query, actions),
+            PeerBody::Reply(reply) => self.handle_reply(now, sender, &reply, actions),
         }
     }
 
     /// The host that holds a flow: the first in rank of those that are usable.
     pub(crate) fn owner_of(&self, digest: FlowDigest) -> HostId {
-        let cell = flow_cell(digest, self.membership.cells());
+        let cell = flow_group(digest, self.membership.cells());
         let owner = match cell {
             Some(cell) if cell != self.membership.cell() => self.owner_in(cell, digest),
             _ => flow_owner(digest, self.membership.usable().iter().copied()),
@@ -347,12 +347,12 @@
     /// The host that may take on requests of a flow that may not run twice: the first in rank of
     /// those that hold their claims.
     pub(crate) fn actor_of(&self, digest: FlowDigest) -> HostId {
-        let cell = flow_cell(digest, self.membership.cells());
+        let cell = flow_group(digest, self.membership.cells());
         if cell.is_some_and(|cell| cell != self.membership.cell()) {
             return self.owner_of(digest);
         }
-        let claimants = self.membership.claimants().iter().copied();
-        flow_owner(digest, claimants).unwrap_or_else(|| self.owner_of(digest))
+        let lease_holders = self.membership.lease_holders().iter().copied();
+        flow_owner(digest, lease_holders).unwrap_or_else(|| self.owner_of(digest))
     }
 
     pub(crate) fn send_caller_frame(
@@ -428,7 +428,7 @@
     fn outcome_now(&self, key: RequestKey) -> RunOutcome {
         match self.requests.get(key) {
             Some(record) if matches!(record.stage, RequestStage::Waiting) => {
-                waiting_outcome(record)
+                outcome_before_send(record)
             }
             _ => RunOutcome::Unknown,
         }
@@ -452,7 +452,7 @@
         self.draining = true;
         let has_peers = self.membership.members().len() > 1;
         if has_peers {
-            let linger = CLAIM_LENGTH + CLAIM_MARGIN + self.settings.max_datagram_age;
+            let linger = LEASE_DURATION + CLOCK_DRIFT_MARGIN + self.settings.max_datagram_age;
             self.linger_deadline = Some(now + linger);
         }
         let heartbeats = self.membership.leave(now);
@@ -461,7 +461,7 @@
 
     pub(crate) fn send_heartbeats(
         &self,
-        heartbeats: Vec<(HostId, CellHeartbeat)>,
+        heartbeats: Vec<(HostId, GroupHeartbeat)>,
         actions: &mut Vec<HostAction>,
     ) {
         for (host, heartbeat) in heartbeats {
@@ -481,9 +481,9 @@
             return;
         }
         let has_peers = self.linger_deadline.is_some();
-        let answers_for_any = has_peers && self.requests.answers_for_any(now);
+        let may_receive_copies = has_peers && self.requests.may_receive_copies(now);
         let is_handed_over = !has_peers || self.flows.is_handed_over();
-        if self.requests.in_progress() == 0 && !answers_for_any && is_handed_over {
+        if self.requests.in_progress() == 0 && !may_receive_copies && is_handed_over {
             self.drained_reported = true;
             actions.push(HostAction::Drained);
         }
--- a/lib/src/least_busy_policy.rs
+++ b/lib/src/least_busy_policy.rs
@@ -1,6 +1,6 @@
-//! The simplest policy: the upstream with the fewest of this host's own jobs, no queue.
+//! Baseline load policy: the upstream with the fewest requests of this host, without a queue.
 //!
-//! It is the baseline that better policies are measured against.
+//! Benchmarks compare other policies with it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,29 +11,29 @@
 use crate::config_snapshot::UpstreamState;
 use crate::flow_hash::rendezvous_weight;
 use crate::ids::UpstreamId;
-use crate::load_policy::JobEnd;
+use crate::load_policy::AttemptOutcome;
 use crate::load_policy::LoadDecision;
-use crate::load_policy::LoadJob;
 use crate::load_policy::LoadPolicy;
+use crate::load_policy::SubmittedRequest;
 use crate::request_table::RequestKey;
 use crate::result_code::ResultCode;
 
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Sends each job at once to the least busy upstream.
+/// Sends each request at once to the least busy upstream.
 #[derive(Default)]
 pub struct LeastBusyPolicy {
     config: Arc<ConfigSnapshot>,
     busy: HashMap<UpstreamId, u32>,
-    sent: HashMap<RequestKey, (LoadJob, UpstreamId)>,
+    sent: HashMap<RequestKey, (SubmittedRequest, UpstreamId)>,
 }
 
 impl LeastBusyPolicy {
-    fn choose(&self, job: &LoadJob) -> Option<UpstreamId> {
-        if job.pinned.is_some() {
-            return job.pinned;
+    fn choose(&self, request: &SubmittedRequest) -> Option<UpstreamId> {
+        if request.pinned.is_some() {
+            return request.pinned;
         }
-        let service = self.config.services.get(&job.service)?;
+        let service = self.config.services.get(&request.service)?;
         service
             .upstreams
             .iter()
@@ -41,7 +41,7 @@
             .filter(|id| self.is_active(*id))
             .min_by_key(|id| {
                 let busy = self.busy.get(id).copied().unwrap_or(0);
-                (busy, rendezvous_weight(job.key.request, u64::from(*id)))
+                (busy, rendezvous_weight(request.key.request, u64::from(*id)))
             })
     }
 
@@ -56,9 +56,14 @@
         self.config = Arc::clone(config);
     }
 
-    fn submit(&mut self, _now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>) {
-        let key = job.key;
-        let Some(upstream) = self.choose(&job) else {
+    fn submit(
+        &mut self,
+        _now: Instant,
+        request: SubmittedRequest,
+        decisions: &mut Vec<LoadDecision>,
+    ) {
+        let key = request.key;
+        let Some(upstream) = self.choose(&request) else {
             decisions.push(LoadDecision::Refuse {
                 key,
                 code: ResultCode::NoUpstream,
@@ -67,7 +72,7 @@
             return;
         };
         *self.busy.entry(upstream).or_default() += 1;
-        self.sent.insert(key, (job, upstream));
+        self.sent.insert(key, (request, upstream));
         decisions.push(LoadDecision::Send { key, upstream });
     }
 
@@ -75,16 +80,16 @@
         &mut self,
         _now: Instant,
         key: RequestKey,
-        end: JobEnd,
+        outcome: AttemptOutcome,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        let Some((_job, upstream)) = self.sent.remove(&key) else {
+        let Some((_request, upstream)) = self.sent.remove(&key) else {
             return;
         };
         if let Some(busy) = self.busy.get_mut(&upstream) {
             *busy = busy.saturating_sub(1);
         }
-        if let JobEnd::NotStarted { retry_after } = end {
+        if let AttemptOutcome::NotStarted { retry_after } = outcome {
             decisions.push(LoadDecision::Refuse {
                 key,
                 code: ResultCode::UpstreamShed,
