--- a/lib/src/load_message.rs
+++ b/lib/src/load_message.rs
@@ -1,8 +1,8 @@
-//! What the load policies of entry hosts tell each other.
+//! Messages between the load policies of entry hosts.
 //!
-//! A slot of an upstream is given away by one host, its keeper. Others ask for one, get a grant,
-//! and release it. Every message may be lost, repeated or late: an ask is repeated under its
-//! number, a grant that is not renewed runs out.
+//! One host, the slot allocator, grants the slots of an upstream. Other hosts request a slot, use
+//! it under a grant and release it. Any message may be lost, duplicated or delayed: a slot request
+//! is sent again under the same number, and a grant that is not renewed expires.
 
 use std::time::Duration;
 
@@ -15,102 +15,107 @@
 use crate::ids::UpstreamId;
 use crate::result_code::ResultCode;
 
-/// Number of an ask; unique for the host that asks, for as long as a grant can live.
-pub type AskId = u32;
+/// Number of a slot request, unique at the requesting host for the lifetime of a grant.
+pub type SlotRequestId = u32;
 
-/// Tells callers apart in shares; a short digest, so that two callers may rarely share one.
+/// Short digest that identifies a caller in fair shares. Two callers may rarely have the same tag.
 pub type CallerTag = u32;
 
 /// A message between the policies of two hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadMessage {
-    /// The service whose slots it is about.
+    /// Service that the slots belong to.
     pub service: ServiceId,
-    /// The ask it is about.
-    pub ask: AskId,
-    /// What is said.
+    /// Slot request that the message refers to.
+    #[serde(rename = "ask")]
+    pub slot_request: SlotRequestId,
+    /// Content of the message.
     pub body: LoadBody,
-    /// The last end that the sender told the same keeper, once more. Without it a lost release
-    /// holds its slot until the grant runs out.
-    pub former: Option<FormerEnd>,
+    /// Last release that the sender sent to the same allocator, repeated. Otherwise a lost release
+    /// would hold its slot until the grant expires.
+    #[serde(rename = "former")]
+    pub previous_release: Option<PreviousRelease>,
 }
 
-/// An end that was told before.
+/// Release that was already sent in an earlier message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FormerEnd {
-    /// The service.
+pub struct PreviousRelease {
+    /// Service that the slot belongs to.
     pub service: ServiceId,
-    /// The ask.
-    pub ask: AskId,
-    /// What became of it.
-    pub end: GrantEnd,
+    /// Slot request that was released.
+    #[serde(rename = "ask")]
+    pub slot_request: SlotRequestId,
+    /// What the slot was used for.
+    #[serde(rename = "end")]
+    pub outcome: GrantOutcome,
 }
 
-/// The kinds of message between a host that asks and a keeper.
+/// Content of a message between a host that needs a slot and a slot allocator.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadBody {
-    /// To a keeper: a job needs a slot.
-    Ask(SlotAsk),
-    /// From a keeper: this slot is yours.
+    /// To an allocator: a request needs a slot.
+    #[serde(rename = "Ask")]
+    Request(SlotRequest),
+    /// From an allocator: the slot is granted.
     Grant {
-        /// The upstream whose slot it is.
+        /// Upstream that the slot belongs to.
         upstream: UpstreamId,
     },
-    /// From a keeper: the ask waits in its queue.
+    /// From an allocator: the slot request waits in its queue.
     Queued,
-    /// From a keeper: no slot can be had in time.
+    /// From an allocator: no slot becomes free in time.
     Deny {
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// Time in milliseconds after which coming back makes sense.
+        /// Time after which the caller may try again, in milliseconds on the wire.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         retry_after: Duration,
     },
-    /// To a keeper: the ask or its grant is over.
-    Release(GrantEnd),
-    /// To a keeper: the sender uses a slot, and goes on doing so. Renews a grant, and tells a new
-    /// keeper of the grants of its predecessor.
+    /// To an allocator: the slot request is withdrawn or its grant has ended.
+    Release(GrantOutcome),
+    /// To an allocator: the sender still uses a slot. Renews a grant, and informs a new allocator
+    /// of the grants that its predecessor gave.
     Hold {
-        /// The upstream whose slot it is.
+        /// Upstream that the slot belongs to.
         upstream: UpstreamId,
     },
 }
 
-/// A wish for one slot.
+/// Request for one slot.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotAsk {
-    /// The one upstream that will do, if not any.
+pub struct SlotRequest {
+    /// Upstream that the slot must belong to; `None` if any upstream of the service will do.
     pub upstream: Option<UpstreamId>,
-    /// The caller it is for.
+    /// Caller that the slot is for.
     pub caller: CallerTag,
-    /// Time in milliseconds that the job has waited.
+    /// Time that the request has waited so far, in milliseconds on the wire.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub waited: Duration,
-    /// Time in milliseconds until the job's deadline.
+    /// Time until the request's deadline, in milliseconds on the wire.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub remaining: Duration,
-    /// Whether the asker is itself a keeper, whose own slots are all in use.
+    /// Whether the sender is itself an allocator whose own slots are all in use.
     pub spill: bool,
 }
 
-/// What became of a granted slot.
+/// How a granted slot was used.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GrantEnd {
-    /// It was not used.
+pub enum GrantOutcome {
+    /// The slot was not used.
     Unused,
-    /// A job ran and its whole answer arrived.
+    /// A request ran and its whole response arrived.
     Answered,
-    /// The upstream proved that it did not start the job.
+    /// The upstream proved that it did not start the request.
     Shed {
-        /// Time in milliseconds after which it expects a free slot.
+        /// Time after which the upstream expects a free slot, in milliseconds on the wire.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         retry_after: Duration,
     },
-    /// Nothing more will be heard of the job.
+    /// The request timed out or its upstream failed; it may have run.
     Lost,
-    /// The caller cancelled the job.
+    /// The caller cancelled the request.
     Cancelled,
 }
--- a/lib/src/load_policy.rs
+++ b/lib/src/load_policy.rs
@@ -1,7 +1,7 @@
-//! The border between a host's core and its decisions under load.
+//! Interface between a host's core and its load policy.
 //!
-//! The core keeps requests, callers and answers; a policy knows none of these. It is told of jobs
-//! and of what became of them, and says where each goes or why it is refused.
+//! The core keeps requests, callers and responses. The policy receives requests and the outcomes of
+//! attempts, and decides where each request goes or why it is refused.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -18,88 +18,89 @@
 use crate::request_table::RequestKey;
 use crate::result_code::ResultCode;
 
-/// A request as a policy sees it.
+/// Request as submitted to a load policy.
 #[derive(Clone, Debug)]
-pub struct LoadJob {
-    /// The request.
+pub struct SubmittedRequest {
+    /// Identity of the request.
     pub key: RequestKey,
-    /// Who asks, for shares a caller.
+    /// Address of the caller, which fair shares are counted by.
     pub caller: IpAddr,
-    /// The service asked for.
+    /// Requested service.
     pub service: ServiceId,
-    /// The upstream that must run it, because its flow is established there.
+    /// Upstream that must run the request, because its flow is established there.
     pub pinned: Option<UpstreamId>,
     /// When the caller stops waiting.
     pub deadline: Instant,
-    /// Whether running it twice does no harm, so that it may be tried again after any failure.
+    /// Whether the request may run twice, so that it may be tried again after any failure.
     pub idempotent: bool,
 }
 
-/// What became of a job that was sent to an upstream.
+/// Outcome of a request that was sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JobEnd {
-    /// Its whole answer arrived.
+pub enum AttemptOutcome {
+    /// The whole response arrived.
     Answered,
-    /// The upstream proved that it did not start it; it may be sent elsewhere.
+    /// The upstream proved that it did not start the request, which may be sent elsewhere.
     NotStarted {
-        /// When the upstream expects a free slot.
+        /// Time after which the upstream expects a free slot.
         retry_after: Duration,
     },
-    /// Nothing more will be heard of it, and it may have run.
+    /// The attempt was given up without a response; the request may have run.
     Lost,
-    /// The caller cancelled it.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
-/// What a policy decides on a job.
+/// Decision of a load policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadDecision {
-    /// Send it now.
+    /// Send a request to an upstream now.
     Send {
-        /// The job.
+        /// Request to send.
         key: RequestKey,
-        /// Where to.
+        /// Destination.
         upstream: UpstreamId,
     },
-    /// Refuse it now.
+    /// Refuse a request now.
     Refuse {
-        /// The job.
+        /// Request to refuse.
         key: RequestKey,
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// When coming back makes sense.
+        /// Time after which the caller may try again.
         retry_after: Duration,
     },
-    /// Tell another host's policy something.
+    /// Send a message to another host's policy.
     Tell {
-        /// The host.
+        /// Destination host.
         host: HostId,
-        /// What.
+        /// Message to send.
         message: LoadMessage,
     },
 }
 
-/// Decides whom to serve, who waits, who is refused, and where work goes.
+/// Decides which requests are sent, wait or are refused, and to which upstream they go.
 ///
-/// Every job that was submitted gets exactly one `Refuse`, or a `Send` followed by one call of
-/// [`LoadPolicy::end`], or is withdrawn. After `NotStarted`, and after `Lost` of an idempotent job
-/// before its deadline, the job is as if submitted anew. A `Refuse` with the code
-/// [`ResultCode::OutcomeUnknown`] is of a job that may have run; any other says that it did not.
+/// Every submitted request gets exactly one `Refuse`, or a `Send` followed by one call of
+/// [`LoadPolicy::end`], or is withdrawn. After `NotStarted`, and after `Lost` of an idempotent
+/// request before its deadline, the request counts as submitted anew. A `Refuse` with the code
+/// [`ResultCode::OutcomeUnknown`] means that the request may have run; any other code means that it
+/// did not.
 ///
-/// A policy that shares nothing with other hosts keeps the methods that have a body: they ignore
-/// what they are told.
+/// The methods with a default body ignore their input. A policy that shares nothing with other
+/// hosts does not override them.
 pub trait LoadPolicy: Send {
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     fn configure(&mut self, now: Instant, config: &Arc<ConfigSnapshot>);
 
-    /// Learns which entry hosts are usable.
+    /// Updates the view of usable entry hosts.
     fn learn_hosts(&mut self, _now: Instant, _hosts: &Arc<HostView>) {}
 
-    /// Learns what an upstream's endpoints said.
-    fn learn_report(&mut self, _now: Instant, _report: UpstreamReport) {}
+    /// Handles a report of an upstream's health and load endpoints.
+    fn handle_report(&mut self, _now: Instant, _report: UpstreamReport) {}
 
-    /// Takes a message of another host's policy.
-    fn take_message(
+    /// Handles a message of another host's policy.
+    fn handle_message(
         &mut self,
         _now: Instant,
         _sender: HostId,
@@ -108,21 +109,27 @@
     ) {
     }
 
-    /// Takes a new job; decisions, also on other jobs, are appended to `decisions`.
-    fn submit(&mut self, now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>);
+    /// Submits a new request. Decisions, which may concern other requests too, are appended to
+    /// `decisions`.
+    fn submit(
+        &mut self,
+        now: Instant,
+        request: SubmittedRequest,
+        decisions: &mut Vec<LoadDecision>,
+    );
 
-    /// Learns the end of a job that was sent.
+    /// Reports the outcome of a request that was sent.
     fn end(
         &mut self,
         now: Instant,
         key: RequestKey,
-        end: JobEnd,
+        outcome: AttemptOutcome,
         decisions: &mut Vec<LoadDecision>,
     );
 
-    /// Withdraws a job that waits; no decision on it follows, but on others may.
+    /// Withdraws a waiting request. No decision on it follows, but decisions on others may.
     fn withdraw(&mut self, now: Instant, key: RequestKey, decisions: &mut Vec<LoadDecision>);
 
-    /// Lets time pass; to be called each tick.
+    /// Advances the time; called at each tick.
     fn tick(&mut self, now: Instant, decisions: &mut Vec<LoadDecision>);
 }
--- a/lib/src/load_settings.rs
+++ b/lib/src/load_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the decisions under load.
+//! Settings of the load policy.
 
 use std::time::Duration;
 
@@ -8,55 +8,55 @@
 
 use crate::unit_text::DurationText;
 
-/// What operators may change of the decisions under load. Durations are written with a unit.
+/// Load policy settings for operators. Durations are written with a unit.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadSettings {
-    /// Slots that one keeper holds before a second one in the zone takes a share.
+    /// Slots of a zone per allocator; each further multiple adds another allocator.
     pub pool_slots: u32,
-    /// Expected service time before any was seen.
+    /// Expected service time before any response has been measured.
     #[serde_as(as = "DurationText")]
     pub first_service_time: Duration,
-    /// Longest wait admitted once a queue has stood for `queue_interval`.
+    /// Maximum admitted wait after a queue has stood for `queue_interval`.
     #[serde_as(as = "DurationText")]
     pub queue_target: Duration,
-    /// How long a queue must stand above `queue_target` to count as overload.
+    /// Time that a queue must stay above `queue_target` to count as overload.
     #[serde_as(as = "DurationText")]
     pub queue_interval: Duration,
-    /// How long a keeper may leave an ask unanswered.
+    /// Time after which a slot request without a reply is sent again or given up.
     #[serde_as(as = "DurationText")]
     pub ask_timeout: Duration,
-    /// How long a grant holds its slot unless it is renewed.
+    /// Time after which a grant expires unless it is renewed.
     #[serde_as(as = "DurationText")]
     pub grant_length: Duration,
-    /// How much longer a job of another zone must have waited to go before one of the own.
+    /// Estimated wait in the own zone above which a slot is requested from another allocator.
     #[serde_as(as = "DurationText")]
     pub spill_cost: Duration,
-    /// Retries allowed per job, as a fraction.
+    /// Retries allowed per request, as a fraction.
     pub retry_ratio: f64,
-    /// Retries allowed at once beyond the fraction.
+    /// Maximum number of saved-up retries.
     pub retry_burst: f64,
-    /// Time over which a new upstream's slots are brought into use.
+    /// Time over which a new upstream's slots are opened.
     #[serde_as(as = "DurationText")]
     pub ramp_length: Duration,
-    /// Losses in a row after which an upstream is ejected.
+    /// Consecutive losses after which an upstream is ejected.
     pub ejection_losses: u32,
-    /// First ejection's length; each further one doubles it.
+    /// Duration of the first ejection; each further one doubles it.
     #[serde_as(as = "DurationText")]
     pub ejection_length: Duration,
-    /// Largest fraction of a pool's upstreams that may be ejected at once.
+    /// Maximum fraction of a pool's upstreams that may be ejected at once.
     pub ejection_bound: f64,
-    /// Time after which a limit that an upstream's sheds have lowered is tried one higher.
+    /// Time after which a learned concurrency limit is raised by one.
     #[serde_as(as = "DurationText")]
     pub limit_probe: Duration,
-    /// Shortest time to come back after a refusal.
+    /// Minimum time before a refused caller may try again.
     #[serde_as(as = "DurationText")]
     pub shortest_retry: Duration,
-    /// Longest time to come back after a refusal.
+    /// Maximum time before a refused caller may try again, before jitter.
     #[serde_as(as = "DurationText")]
     pub longest_retry: Duration,
-    /// Time over which use of upstreams is evened out.
+    /// Time constant over which upstream usage is balanced.
     #[serde_as(as = "DurationText")]
     pub balance_length: Duration,
 }
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,9 +1,10 @@
-//! Which hosts of the own cell are usable: the published list joined with direct heartbeats.
+//! Members of this host's ownership group and which of them are usable, from the published host
+//! list and from heartbeats.
 //!
-//! The list lags, so a host that is silent is skipped for flows and idempotent requests; being
-//! wrong about that costs a hop. Claims on requests that may not run twice are [`crate::claim`]'s.
-//! A host whose own ticks came late suspects itself first (as in Lifeguard): it takes nobody for
-//! dead because of its own freeze, and earns its claim anew.
+//! The list lags behind the hosts, so a silent host is skipped for flows and idempotent requests; a
+//! wrong guess costs a hop. [`crate::lease_table`] decides who may accept non-idempotent requests.
+//! A host whose own ticks were late suspects itself first (as in Lifeguard): it does not count
+//! silence during its own stall against its peers, and its lease has to be granted again.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,73 +12,74 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::cell_heartbeat::CellHeartbeat;
-use crate::cell_heartbeat::HEARTBEAT_INTERVAL;
-use crate::cell_heartbeat::MAX_CELL;
-use crate::claim::ClaimBook;
-use crate::claim_vote::ClaimSettings;
 use crate::config_snapshot::HostEntry;
 use crate::config_snapshot::HostView;
+use crate::group_heartbeat::GroupHeartbeat;
+use crate::group_heartbeat::HEARTBEAT_INTERVAL;
+use crate::group_heartbeat::MAX_GROUP_HOSTS;
 use crate::ids::CellId;
 use crate::ids::HostId;
 use crate::ids::Incarnation;
 use crate::ids::Version;
-
-/// How long a vote on a claim lasts: four heartbeats, so that three may be lost in a row.
-pub const CLAIM_LENGTH: Duration = Duration::from_millis(1_200);
-/// Five percent of a claim, far above the drift of quartz clocks (about 0.01 %).
-pub const CLAIM_MARGIN: Duration = Duration::from_millis(60);
+use crate::lease_table::LeaseTable;
+use crate::lease_vote::LeaseSettings;
+
+/// How long a lease vote is valid: four heartbeat intervals, so that three heartbeats in a row may
+/// be lost.
+pub const LEASE_DURATION: Duration = Duration::from_millis(1_200);
+/// Five percent of the lease duration, far above the drift of quartz clocks (about 0.01 %).
+pub const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(60);
 /// Silence after which a peer is skipped for flows and idempotent requests.
-pub const SUSPECT_AFTER: Duration = Duration::from_millis(1_200);
-/// Time between two events from which on the host takes itself to have been frozen. Well above what
-/// a busy machine makes a process wait, for each time the claim has to be earned anew.
-pub const FREEZE_GAP: Duration = Duration::from_millis(250);
-/// How long a host waits for others to know a list before it uses it.
-pub const LIST_WAIT: Duration = Duration::from_secs(4);
-/// How long after waking a host may still read datagrams that arrived while it was frozen.
-/// Assumption: the backlog of its socket buffers is read within this.
-pub const BACKLOG_WINDOW: Duration = Duration::from_millis(200);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time between two events from which on this process counts as stalled. It is well above the
+/// scheduling delays of a busy machine, because the lease has to be granted again after each stall.
+pub const STALL_THRESHOLD: Duration = Duration::from_millis(250);
+/// How long a host waits for its peers to know a new host list before it uses the list anyway.
+pub const LIST_ADOPTION_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long after a stall datagrams may be read that arrived during it. Assumption: the backlog of
+/// the socket buffers is read within this time.
+pub const STALL_BACKLOG_WINDOW: Duration = Duration::from_millis(200);
 
 #[derive(Debug)]
-struct PeerLife {
-    /// When it was last heard of, or first published.
-    heard: Instant,
-    /// Since when it has said that it is leaving.
+struct PeerLiveness {
+    /// When the last heartbeat arrived, or when the host was first listed if none has arrived.
+    heard_at: Instant,
+    /// Since when its heartbeats have stated that it is leaving.
     leaving_since: Option<Instant>,
-    /// Whether it said that it holds its claim.
-    claiming: bool,
-    /// The newest list that it said it knows.
+    /// Whether its last heartbeat stated that it holds its lease.
+    holds_lease: bool,
+    /// Version of the newest host list that it stated to know.
     list_version: Version,
 }
 
-/// A newer list with other members, before it is used.
-struct NextView {
+/// A newer host list with other members that is not used yet.
+struct PendingView {
     view: Arc<HostView>,
-    /// Not used before this, so that a new member has been up for long enough to say of requests
-    /// of the change's time that no process of its has run them.
+    /// The list is not used before this time. By then a new member has been up for long enough to
+    /// state that no process of its host has run a request that is as old as the change.
     hold_deadline: Instant,
-    /// Used from this on, whether or not the others know it.
+    /// The list is used from this time on, even if the peers do not know it.
     wait_deadline: Instant,
 }
 
-/// The hosts as this one sees them.
+/// The hosts of the ownership group, and the published host lists, as this host knows them.
 pub struct Membership {
     host: HostId,
     view: Arc<HostView>,
-    next_view: Option<NextView>,
+    pending_view: Option<PendingView>,
     /// How long a new process stays on standby.
     standby: Duration,
     cell: CellId,
-    lives: BTreeMap<HostId, PeerLife>,
-    /// The cells of the published hosts, ascending.
+    peers: BTreeMap<HostId, PeerLiveness>,
+    /// The ownership groups of the published hosts, ascending.
     cells: Vec<CellId>,
-    /// Hosts of the own cell that are usable, ascending.
+    /// Usable hosts of this host's ownership group, ascending.
     usable: Vec<HostId>,
-    /// Hosts of the own cell that hold their claims, ascending.
-    claimants: Vec<HostId>,
-    /// A member that has been removed may have taken on requests first sent before this.
-    removal_horizon: Instant,
-    book: ClaimBook,
+    /// Hosts of this host's ownership group that hold their leases, ascending.
+    lease_holders: Vec<HostId>,
+    /// A process or member that is gone may have accepted requests first sent before this time.
+    record_horizon: Instant,
+    book: LeaseTable,
     heartbeat_deadline: Instant,
     last_event: Option<Instant>,
     backlog_deadline: Option<Instant>,
@@ -85,30 +87,31 @@
 }
 
 impl Membership {
-    /// Starts without a list; `max_datagram_age` bounds how long a datagram is under way.
+    /// Creates a membership without a host list. `max_datagram_age` is the maximum time that a
+    /// datagram is in transit.
     pub fn new(
         now: Instant,
         host: HostId,
         incarnation: Incarnation,
         max_datagram_age: Duration,
     ) -> Self {
-        let settings = ClaimSettings {
-            length: CLAIM_LENGTH,
-            margin: CLAIM_MARGIN,
+        let settings = LeaseSettings {
+            length: LEASE_DURATION,
+            margin: CLOCK_DRIFT_MARGIN,
             standby: 2 * max_datagram_age,
         };
         Self {
             host,
             view: Arc::default(),
-            next_view: None,
+            pending_view: None,
             standby: settings.standby,
             cell: CellId::default(),
-            lives: BTreeMap::new(),
+            peers: BTreeMap::new(),
             cells: Vec::new(),
             usable: vec![host],
-            claimants: Vec::new(),
-            removal_horizon: now,
-            book: ClaimBook::new(now, host, incarnation, settings),
+            lease_holders: Vec::new(),
+            record_horizon: now,
+            book: LeaseTable::new(now, host, incarnation, settings),
             heartbeat_deadline: now,
             last_event: None,
             backlog_deadline: None,
@@ -116,85 +119,89 @@
         }
     }
 
-    /// Notes that an event happened at `now`; to be called before anything else is decided.
+    /// Records that an event happened at `now` and detects a stall of this process. Must be called
+    /// before any other processing of the event.
     ///
-    /// After a freeze the world may have gone on without this host: its claim is given up until a
-    /// heartbeat sent after waking is echoed, and silence during the freeze counts against nobody.
+    /// Other hosts may have taken over during a stall. The lease is therefore given up until a
+    /// heartbeat sent after the stall is echoed, and silence during the stall is not counted
+    /// against any peer.
     pub fn observe(&mut self, now: Instant) {
         let last_event = self.last_event.replace(now).unwrap_or(now);
         let gap = now.saturating_duration_since(last_event);
-        if gap < FREEZE_GAP {
+        if gap < STALL_THRESHOLD {
             return;
         }
-        self.backlog_deadline = Some(now + BACKLOG_WINDOW);
+        self.backlog_deadline = Some(now + STALL_BACKLOG_WINDOW);
         self.heartbeat_deadline = now;
-        for life in self.lives.values_mut() {
-            life.heard += gap;
+        for peer in self.peers.values_mut() {
+            peer.heard_at += gap;
         }
-        self.book.wake(now);
+        self.book.handle_stall(now);
     }
 
-    /// Whether a datagram read now may have waited while this host was frozen, so that the age it
-    /// states is too small by an unknown time.
-    pub fn reads_backlog(&self, now: Instant) -> bool {
+    /// Whether a datagram read now may have been queued while this process was stalled, which makes
+    /// the age it states too small by an unknown amount.
+    pub fn may_read_backlog(&self, now: Instant) -> bool {
         self.backlog_deadline.is_some_and(|deadline| now < deadline)
     }
 
-    /// Takes a published list unless it is older than the one known.
+    /// Processes a published host list, unless a newer one is known.
     ///
-    /// Votes under two sets of members do not mix, so nobody in the cell holds a claim while some
-    /// hosts use the old set and some the new. A host therefore waits, up to [`LIST_WAIT`], until
-    /// every member that it hears knows the list; then all change within a heartbeat.
+    /// Votes under two member sets are not combined, so no host of the group holds its lease while
+    /// some hosts use the old set and some the new one. A host therefore waits up to
+    /// [`LIST_ADOPTION_TIMEOUT`] until every member that it hears from knows the list. All hosts
+    /// then switch within one heartbeat interval.
     pub fn learn_hosts(&mut self, now: Instant, view: &Arc<HostView>) {
         if view.version < self.known_version() {
             return;
         }
         let same_members = self.members_of(view) == self.book.members();
         if same_members || self.book.is_fresh() {
-            self.next_view = None;
+            self.pending_view = None;
             return self.adopt(now, view);
         }
-        let first_heard = self.next_view.take();
-        let mut next = first_heard.unwrap_or(NextView {
+        let earlier = self.pending_view.take();
+        let mut pending = earlier.unwrap_or(PendingView {
             view: Arc::clone(view),
             hold_deadline: now,
-            wait_deadline: now + LIST_WAIT,
+            wait_deadline: now + LIST_ADOPTION_TIMEOUT,
         });
         let members = self.members_of(view);
         let adds_members = members.iter().any(|id| !self.book.members().contains(id));
         if adds_members {
-            next.hold_deadline = now + self.standby;
+            pending.hold_deadline = now + self.standby;
         }
-        next.view = Arc::clone(view);
-        self.next_view = Some(next);
+        pending.view = Arc::clone(view);
+        self.pending_view = Some(pending);
         for id in &members {
             self.watch(now, *id);
         }
         self.adopt_next(now);
     }
 
-    /// Version of the newest list that this host knows.
+    /// Version of the newest host list that this host knows.
     fn known_version(&self) -> Version {
-        let next = self.next_view.as_ref();
-        next.map_or(self.view.version, |next| next.view.version)
+        let pending = self.pending_view.as_ref();
+        pending.map_or(self.view.version, |pending| pending.view.version)
     }
 
-    /// Adopts the next list once every member that is heard knows it, or the wait is over.
+    /// Adopts the pending list once every member that is heard from knows it, or once the wait
+    /// times out.
     fn adopt_next(&mut self, now: Instant) {
-        let Some(next) = &self.next_view else {
+        let Some(pending) = &self.pending_view else {
             return;
         };
-        let version = next.view.version;
-        let lives = self.lives.values();
-        let is_known = lives
-            .filter(|life| now < life.heard + SUSPECT_AFTER)
-            .all(|life| life.list_version >= version);
-        let is_ready = is_known && now >= next.hold_deadline;
-        if !is_ready && now < next.wait_deadline {
+        let version = pending.view.version;
+        let peers = self.peers.values();
+        let is_known = peers
+            .filter(|peer| now < peer.heard_at + SUSPICION_TIMEOUT)
+            .all(|peer| peer.list_version >= version);
+        let is_ready = is_known && now >= pending.hold_deadline;
+        if !is_ready && now < pending.wait_deadline {
             return;
         }
-        let view = Arc::clone(&next.view);
-        self.next_view = None;
+        let view = Arc::clone(&pending.view);
+        self.pending_view = None;
         self.adopt(now, &view);
     }
 
@@ -208,7 +215,7 @@
         published
             .filter(|entry| entry.cell == cell)
             .map(|entry| entry.id)
-            .take(MAX_CELL)
+            .take(MAX_GROUP_HOSTS)
             .collect()
     }
 
@@ -218,8 +225,8 @@
         let members = self.members_of(view);
         let cells: BTreeSet<CellId> = view.published.iter().map(|entry| entry.cell).collect();
         self.cells = cells.into_iter().collect();
-        self.note_removed(now, &members);
-        self.lives.retain(|id, _life| members.contains(id));
+        self.record_removed_members(now, &members);
+        self.peers.retain(|id, _peer| members.contains(id));
         for id in &members {
             self.watch(now, *id);
         }
@@ -227,16 +234,16 @@
         self.refresh(now);
     }
 
-    /// Begins to exchange heartbeats with a host of the list in use or of the next.
+    /// Starts to exchange heartbeats with a host of the current or the pending list.
     fn watch(&mut self, now: Instant, id: HostId) {
         if id == self.host {
             return;
         }
         self.book.watch(id);
-        self.lives.entry(id).or_insert(PeerLife {
-            heard: now,
+        self.peers.entry(id).or_insert(PeerLiveness {
+            heard_at: now,
             leaving_since: None,
-            claiming: false,
+            holds_lease: false,
             list_version: 0,
         });
     }
@@ -245,17 +252,17 @@
         self.book.members().binary_search(&id).is_ok()
     }
 
-    /// Takes a peer's heartbeat; the sender was checked to be published.
-    pub fn take(&mut self, now: Instant, sender: HostId, heartbeat: &CellHeartbeat) {
-        if !self.book.take(now, sender, heartbeat) {
+    /// Processes a peer's heartbeat. The caller has checked that the sender is in the host list.
+    pub fn take(&mut self, now: Instant, sender: HostId, heartbeat: &GroupHeartbeat) {
+        if !self.book.handle_heartbeat(now, sender, heartbeat) {
             return;
         }
-        if let Some(life) = self.lives.get_mut(&sender) {
-            life.heard = now;
-            life.claiming = heartbeat.claiming;
-            life.list_version = heartbeat.list_version;
-            life.leaving_since = match heartbeat.leaving {
-                true => life.leaving_since.or(Some(now)),
+        if let Some(peer) = self.peers.get_mut(&sender) {
+            peer.heard_at = now;
+            peer.holds_lease = heartbeat.claiming;
+            peer.list_version = heartbeat.list_version;
+            peer.leaving_since = match heartbeat.leaving {
+                true => peer.leaving_since.or(Some(now)),
                 false => None,
             };
         }
@@ -263,8 +270,9 @@
         self.refresh(now);
     }
 
-    /// The heartbeats that are due, one for each peer of the cell.
-    pub fn tick(&mut self, now: Instant) -> Vec<(HostId, CellHeartbeat)> {
+    /// Advances the state with time and returns the heartbeats that are due, one for each peer of
+    /// the ownership group.
+    pub fn tick(&mut self, now: Instant) -> Vec<(HostId, GroupHeartbeat)> {
         self.adopt_next(now);
         self.book.tick(now);
         self.refresh(now);
@@ -275,8 +283,8 @@
         self.heartbeats(now)
     }
 
-    /// Announces that this host will stop; the heartbeats say so at once.
-    pub fn leave(&mut self, now: Instant) -> Vec<(HostId, CellHeartbeat)> {
+    /// Marks this host as leaving and returns heartbeats that announce it at once.
+    pub fn leave(&mut self, now: Instant) -> Vec<(HostId, GroupHeartbeat)> {
         self.leaving = true;
         self.book.leave(now);
         self.refresh(now);
@@ -284,122 +292,124 @@
         self.heartbeats(now)
     }
 
-    /// The published list in use.
+    /// The current host list.
     pub fn view(&self) -> &Arc<HostView> {
         &self.view
     }
 
-    /// The published entry of a host, in the list in use or the next.
+    /// Returns the entry of a host in the current or the pending list.
     pub fn entry(&self, id: HostId) -> Option<&HostEntry> {
-        let next = self.next_view.as_ref();
+        let pending = self.pending_view.as_ref();
         self.view
             .host(id)
-            .or_else(|| next.and_then(|next| next.view.host(id)))
+            .or_else(|| pending.and_then(|pending| pending.view.host(id)))
     }
 
-    /// The cell this host belongs to.
+    /// The ownership group of this host.
     pub fn cell(&self) -> CellId {
         self.cell
     }
 
-    /// The published members of the own cell, this host included if it is published, ascending.
+    /// The published members of the ownership group, ascending; includes this host if it is
+    /// published.
     pub fn members(&self) -> &[HostId] {
         self.book.members()
     }
 
-    /// The members of the own cell that take new work, ascending; this host while it is not
-    /// leaving.
+    /// The members of the ownership group that take new work, ascending; includes this host unless
+    /// it is leaving.
     pub fn usable(&self) -> &[HostId] {
         &self.usable
     }
 
-    /// Whether a host of the own cell was heard of lately, leaving or not.
+    /// Whether a host of the ownership group was heard from recently, leaving or not.
     pub fn is_heard(&self, now: Instant, id: HostId) -> bool {
-        let life = self.lives.get(&id);
-        life.is_some_and(|life| now < life.heard + SUSPECT_AFTER)
+        let peer = self.peers.get(&id);
+        peer.is_some_and(|peer| now < peer.heard_at + SUSPICION_TIMEOUT)
     }
 
-    /// The members of the own cell that hold their claims, ascending.
-    pub fn claimants(&self) -> &[HostId] {
-        &self.claimants
+    /// The members of the ownership group that hold their leases, ascending.
+    pub fn lease_holders(&self) -> &[HostId] {
+        &self.lease_holders
     }
 
-    /// The cells of the published hosts, ascending.
+    /// The ownership groups of the published hosts, ascending.
     pub fn cells(&self) -> &[CellId] {
         &self.cells
     }
 
-    /// A request first sent before this may have been taken on by a process or host that can no
-    /// longer be asked: this host's former process, or a member that was removed.
-    pub fn removal_horizon(&self) -> Instant {
-        self.removal_horizon
+    /// A request first sent before this time may have been accepted by a process or host that can
+    /// no longer be queried: an earlier process of this host, or a removed member.
+    pub fn record_horizon(&self) -> Instant {
+        self.record_horizon
     }
 
-    /// Since when a host of the own cell has said that it is leaving.
+    /// Since when a host of the ownership group has stated that it is leaving.
     pub fn leaving_since(&self, id: HostId) -> Option<Instant> {
-        self.lives.get(&id)?.leaving_since
+        self.peers.get(&id)?.leaving_since
     }
 
-    /// The claims of the own cell.
-    pub fn book(&self) -> &ClaimBook {
+    /// The leases of the ownership group.
+    pub fn book(&self) -> &LeaseTable {
         &self.book
     }
 
-    /// A removed member can no longer be asked for its records. It took nothing on after it said
-    /// that it was leaving; one that did not say so may act for the length of its claim.
-    fn note_removed(&mut self, now: Instant, members: &[HostId]) {
+    /// Moves the record horizon when members are removed, because their records can no longer be
+    /// queried. A removed member accepted nothing after it stated that it was leaving; one that did
+    /// not state so may accept requests until its lease expires.
+    fn record_removed_members(&mut self, now: Instant, members: &[HostId]) {
         let removed = self
-            .lives
+            .peers
             .iter()
-            .filter(|(id, _life)| self.is_member(**id) && !members.contains(id));
+            .filter(|(id, _peer)| self.is_member(**id) && !members.contains(id));
         let horizon = removed
-            .map(|(_id, life)| {
-                life.leaving_since
-                    .unwrap_or(now + CLAIM_LENGTH + CLAIM_MARGIN)
+            .map(|(_id, peer)| {
+                peer.leaving_since
+                    .unwrap_or(now + LEASE_DURATION + CLOCK_DRIFT_MARGIN)
             })
             .max();
-        self.removal_horizon = horizon.map_or(self.removal_horizon, |horizon| {
-            self.removal_horizon.max(horizon)
+        self.record_horizon = horizon.map_or(self.record_horizon, |horizon| {
+            self.record_horizon.max(horizon)
         });
     }
 
-    fn heartbeats(&mut self, now: Instant) -> Vec<(HostId, CellHeartbeat)> {
-        let peers: Vec<HostId> = self.lives.keys().copied().collect();
+    fn heartbeats(&mut self, now: Instant) -> Vec<(HostId, GroupHeartbeat)> {
+        let peers: Vec<HostId> = self.peers.keys().copied().collect();
         let list_version = self.known_version();
-        let mut make = |id| {
-            let mut heartbeat = self.book.make(now, id);
+        let mut next_heartbeat = |id| {
+            let mut heartbeat = self.book.next_heartbeat(now, id);
             heartbeat.list_version = list_version;
             (id, heartbeat)
         };
-        peers.into_iter().map(&mut make).collect()
+        peers.into_iter().map(&mut next_heartbeat).collect()
     }
 
     fn refresh(&mut self, now: Instant) {
-        let lives = self.lives.iter();
-        self.usable = lives
-            .filter(|(id, life)| {
+        let peers = self.peers.iter();
+        self.usable = peers
+            .filter(|(id, peer)| {
                 let published_leaving = self.view.host(**id).is_some_and(|entry| entry.leaving);
                 self.is_member(**id)
-                    && now < life.heard + SUSPECT_AFTER
-                    && life.leaving_since.is_none()
+                    && now < peer.heard_at + SUSPICION_TIMEOUT
+                    && peer.leaving_since.is_none()
                     && !published_leaving
             })
-            .map(|(id, _life)| *id)
+            .map(|(id, _peer)| *id)
             .collect();
         if self.is_member(self.host) && !self.leaving {
             let index = self.usable.partition_point(|id| *id < self.host);
             self.usable.insert(index, self.host);
         }
-        let lives = self.lives.iter();
-        self.claimants = lives
-            .filter(|(id, life)| {
-                self.is_member(**id) && now < life.heard + SUSPECT_AFTER && life.claiming
+        let peers = self.peers.iter();
+        self.lease_holders = peers
+            .filter(|(id, peer)| {
+                self.is_member(**id) && now < peer.heard_at + SUSPICION_TIMEOUT && peer.holds_lease
             })
-            .map(|(id, _life)| *id)
+            .map(|(id, _peer)| *id)
             .collect();
         if self.book.holds_claim(now) {
-            let index = self.claimants.partition_point(|id| *id < self.host);
-            self.claimants.insert(index, self.host);
+            let index = self.lease_holders.partition_point(|id| *id < self.host);
+            self.lease_holders.insert(index, self.host);
         }
     }
 }
--- a/lib/src/parked_frames.rs
+++ b/lib/src/parked_frames.rs
@@ -1,7 +1,7 @@
-//! What waits until other hosts have said whether they hold a flow.
+//! Frames and requests that wait for the replies to a query about their flow.
 //!
-//! The number of flows is bounded by the questions that may be open at once, the requests by the
-//! request table; a caller that sends its `Open` again replaces the one that waits.
+//! The number of flows is bounded by the limit of open queries, and the number of requests by the
+//! request table. A caller's retransmitted `Open` replaces the one that waits.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,35 +10,35 @@
 use crate::request_table::RequestKey;
 use crate::wire_frame::CallerFrame;
 
-/// What waits for one flow.
+/// Frames and requests that wait for one flow.
 #[derive(Clone, Debug, Default)]
 pub struct ParkedFlow {
-    /// The caller that opens it, and its frame.
+    /// The caller that opens the flow, and its frame.
     pub open: Option<(SocketAddr, CallerFrame)>,
-    /// Requests that this host has taken on.
+    /// Requests that this host has accepted.
     pub requests: Vec<RequestKey>,
 }
 
-/// What waits, by flow.
+/// Waiting frames and requests, by flow.
 #[derive(Clone, Debug, Default)]
 pub struct ParkedFrames {
     flows: BTreeMap<FlowDigest, ParkedFlow>,
 }
 
 impl ParkedFrames {
-    /// Lets an `Open` wait.
+    /// Parks an `Open` until the flow's query ends.
     pub fn park_open(&mut self, digest: FlowDigest, caller: SocketAddr, frame: &CallerFrame) {
         let flow = self.flows.entry(digest).or_default();
         flow.open = Some((caller, frame.clone()));
     }
 
-    /// Lets a request wait.
+    /// Parks a request until its flow's query ends.
     pub fn park_request(&mut self, key: RequestKey) {
         let flow = self.flows.entry(key.flow).or_default();
         flow.requests.push(key);
     }
 
-    /// Takes out what waits for a flow.
+    /// Removes and returns the frames and requests that wait for a flow.
     pub fn take(&mut self, digest: FlowDigest) -> ParkedFlow {
         self.flows.remove(&digest).unwrap_or_default()
     }
--- a/lib/src/placement_table.rs
+++ b/lib/src/placement_table.rs
@@ -1,9 +1,10 @@
-//! Where a service's new flows go: a function of the flow and the published configuration alone.
+//! Placement tables: the upstream of a new flow as a function of the flow and the published
+//! configuration.
 //!
-//! Every host that has seen a configuration computes the same upstream for a flow, so that flows
-//! which live where the table says need no copies of their records. Each member has a rendezvous
-//! weight for each flow: a change of one member moves only that member's flows, and nothing is kept
-//! but the members themselves.
+//! Every host with the same configuration computes the same upstream for a flow, so that flows on
+//! that upstream need no copies of their records. Each member has a rendezvous weight for each
+//! flow: a change of one member moves only that member's flows, and only the members need to be
+//! stored.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,35 +24,37 @@
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 
-/// Hash of a table's content, alike on every host, whatever versions it has seen in between.
+/// Hash of a table's content. It is the same on every host, whatever configurations the host has
+/// seen before.
 pub type TableId = u64;
 
-/// How many tables of one service are kept, the one in force included.
+/// Maximum number of tables kept per service, including the one in force.
 ///
-/// Hosts disagree for seconds after a change; the bound covers that many changes of one service
-/// in that time. A table that was dropped costs a question to the peers, never a wrong upstream.
-pub const KEPT_TABLES: usize = 16;
+/// Hosts may use different tables for seconds after a change; the limit covers that many changes of
+/// one service in that time. A flow of a dropped table costs a query to the peers, but never gets a
+/// wrong upstream.
+pub const MAX_KEPT_TABLES: usize = 16;
 
 /// An upstream that takes new flows of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableMember {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Its incarnation as published; a later one is another member.
+    /// The upstream's published generation. Another generation is another member.
     pub incarnation: Incarnation,
 }
 
-/// The members of a service at one time.
+/// The upstreams of a service under one configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementTable {
     service: ServiceId,
     id: TableId,
-    /// In ascending order of number.
+    /// In ascending order of upstream id.
     members: Vec<TableMember>,
 }
 
 impl PlacementTable {
-    /// The table of a service under a configuration: its active upstreams.
+    /// Returns the table of a service under a configuration, with its active upstreams as members.
     pub fn build(config: &ConfigSnapshot, service: &ServiceEntry) -> Self {
         let members = service.upstreams.iter().filter_map(|id| {
             let entry = config.upstreams.get(id)?;
@@ -63,7 +66,7 @@
         Self::of_members(service.id, members.collect())
     }
 
-    /// The table of members in ascending order of number.
+    /// Returns the table with the given members, which must be in ascending order of upstream id.
     pub fn of_members(service: ServiceId, members: Vec<TableMember>) -> Self {
         let mut content = Vec::with_capacity(members.len() * 12);
         for member in &members {
@@ -77,22 +80,22 @@
         }
     }
 
-    /// Identity of the table's content.
+    /// Returns the hash of the table's content.
     pub fn id(&self) -> TableId {
         self.id
     }
 
-    /// The members in ascending order of number.
+    /// Returns the members in ascending order of upstream id.
     pub fn members(&self) -> &[TableMember] {
         &self.members
     }
 
-    /// Where a flow is placed, or `None` if the service has no active upstream.
+    /// Returns the binding of a flow, or `None` if the service has no active upstream.
     pub fn place(&self, digest: FlowDigest) -> Option<FlowBinding> {
         self.place_where(digest, |_member| true)
     }
 
-    /// Where a flow is placed among the members that `accepts` admits.
+    /// Returns the binding of a flow among the members for which `accepts` is true.
     pub fn place_where(
         &self,
         digest: FlowDigest,
@@ -112,21 +115,22 @@
     }
 }
 
-/// A number that tells upstreams and their incarnations apart; hosts use the lower 32 bits alone.
+/// Returns a seed that distinguishes upstreams and their generations. Host seeds use the lower 32
+/// bits only.
 fn member_seed(member: TableMember) -> u64 {
     let incarnation = member.incarnation.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (u64::from(member.upstream) << 32) ^ incarnation
 }
 
-/// The tables of every service: the one in force and those of before.
+/// The tables of every service: the one in force and earlier ones.
 #[derive(Clone, Debug, Default)]
 pub struct TableHistory {
-    /// Newest first. Invariant: no list is empty, and none holds an id twice.
+    /// Newest first. Invariant: no list is empty, and none contains a table id twice.
     services: BTreeMap<ServiceId, Vec<Arc<PlacementTable>>>,
 }
 
 impl TableHistory {
-    /// Puts a configuration in force; returns the services whose table changed.
+    /// Applies a configuration. Returns the services whose table changed.
     pub fn configure(&mut self, config: &ConfigSnapshot) -> Vec<ServiceId> {
         let mut ids: Vec<ServiceId> = config.services.keys().copied().collect();
         ids.sort_unstable();
@@ -140,49 +144,49 @@
         changed
     }
 
-    /// Puts one table in force; `false` if it was already.
+    /// Makes a table the one in force. Returns `false` if it was already.
     pub fn put_in_force(&mut self, table: PlacementTable) -> bool {
         let tables = self.services.entry(table.service).or_default();
         if tables.first().is_some_and(|newest| newest.id == table.id) {
             return false;
         }
-        tables.retain(|former| former.id != table.id);
+        tables.retain(|previous| previous.id != table.id);
         tables.insert(0, Arc::new(table));
-        tables.truncate(KEPT_TABLES);
+        tables.truncate(MAX_KEPT_TABLES);
         true
     }
 
-    /// Keeps a table that was in force before this host came, behind the one in force.
-    pub fn remember(&mut self, table: PlacementTable) {
+    /// Keeps a table that was in force before this host joined, after the one in force.
+    pub fn insert_older(&mut self, table: PlacementTable) {
         let Some(tables) = self.services.get_mut(&table.service) else {
             return;
         };
         if tables.iter().all(|kept| kept.id != table.id) {
             tables.insert(1, Arc::new(table));
-            tables.truncate(KEPT_TABLES);
+            tables.truncate(MAX_KEPT_TABLES);
         }
     }
 
-    /// The table in force.
+    /// Returns the table in force.
     pub fn newest(&self, service: ServiceId) -> Option<&PlacementTable> {
         let tables = self.services.get(&service)?;
         tables.first().map(Arc::as_ref)
     }
 
-    /// The table with an id, if it is still kept.
+    /// Returns the table with an id, if it is still kept.
     pub fn find(&self, service: ServiceId, id: TableId) -> Option<&PlacementTable> {
         let tables = self.services.get(&service)?;
         let table = tables.iter().find(|table| table.id == id)?;
         Some(table)
     }
 
-    /// Every kept table of a service, newest first.
+    /// Returns the kept tables of a service, newest first.
     pub fn kept(&self, service: ServiceId) -> impl Iterator<Item = &PlacementTable> {
         let tables = self.services.get(&service);
         tables.into_iter().flatten().map(Arc::as_ref)
     }
 
-    /// The services that have a table.
+    /// Returns the services that have a table.
     pub fn services(&self) -> impl Iterator<Item = ServiceId> + '_ {
         self.services.keys().copied()
     }
--- a/lib/src/pool_upstream.rs
+++ b/lib/src/pool_upstream.rs
@@ -1,7 +1,8 @@
-//! One upstream as the keeper of its slots knows it, from its own observations.
+//! State of one upstream at the allocator of its slots.
 //!
-//! Load pattern: an upstream's published slots, health and load endpoints lag or mislead. What the
-//! keeper saw itself decides: jobs it let there, answers, proofs of not started, losses.
+//! The published slots, the health endpoint and the load endpoint of an upstream may be late or
+//! wrong. The allocator therefore decides by its own observations: granted slots, responses, proofs
+//! that a request was not started, and losses.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,51 +16,54 @@
 use crate::slot_limit::SlotLimit;
 use crate::warm_ramp::WarmRamp;
 
-/// Weight of the newest job in an upstream's pace.
-const NEWEST_WEIGHT: f64 = 1.0 / 8.0;
-/// One job counts at most this many average ones, so that a single long job makes nobody slow.
-const LONGEST_SAMPLE: f64 = 4.0;
-/// Pace, as a multiple of the pool's, from which an upstream is used only when others are full.
-const SLOW_PACE: f64 = 2.5;
-/// Pace below which it is used like the others again. With one threshold for both, a slow upstream
-/// came back every few seconds and, being the least used, took several jobs each time.
-const USUAL_PACE: f64 = 1.5;
-/// Part of the difference to the average pace that an upstream sheds a second without jobs.
-const PACE_RECOVERY: f64 = 0.02;
+/// Weight of the newest sample in the moving average of the service time ratio.
+const NEW_SAMPLE_WEIGHT: f64 = 1.0 / 8.0;
+/// Maximum ratio that one request contributes, so that a single long request does not mark an
+/// upstream as slow.
+const MAX_SAMPLE_RATIO: f64 = 4.0;
+/// Service time ratio above which an upstream is used only when the others are full.
+const SLOW_RATIO: f64 = 2.5;
+/// Service time ratio below which a slow upstream is used normally again. With one threshold for
+/// both, a slow upstream returned every few seconds and, as the least used one, received several
+/// requests each time.
+const NORMAL_RATIO: f64 = 1.5;
+/// Fraction of the difference to the average service time that an idle upstream recovers per
+/// second.
+const RATIO_RECOVERY_PER_SECOND: f64 = 0.02;
 
-/// One upstream of a pool.
+/// Upstream of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolUpstream {
-    /// Its number.
+    /// Identifier.
     pub id: UpstreamId,
-    /// Jobs that hold one of its slots.
+    /// Number of slots in use.
     pub busy: u32,
-    /// Time its slots were in use, weighted towards the present; see [`crate::slot_table`].
+    /// Decayed slot usage per slot, in weighted seconds; see [`crate::slot_table`].
     pub usage: f64,
-    /// Slots that may be in use now, as last computed.
+    /// Number of slots that may be in use, as last computed.
     pub open: u32,
-    /// Those of them that any job may use: none while it drains.
+    /// Those of the open slots that any request may use; 0 while the upstream drains.
     pub shared: u32,
-    /// Published slots.
+    /// Published number of slots.
     pub slots: u32,
-    /// Limit learned from sheds.
+    /// Concurrency limit learned from shed requests.
     pub limit: SlotLimit,
-    /// Cold start.
+    /// Ramp-up after a cold start.
     pub ramp: WarmRamp,
-    /// Losses.
+    /// Losses and ejections.
     pub outlier: OutlierRecord,
     incarnation: Incarnation,
     active: bool,
-    /// Whether its health endpoint denies health and no answer has proved otherwise since.
-    unwell: bool,
-    /// How long jobs take here, as a multiple of the pool's average.
-    pace: f64,
-    /// Whether it was slow and has not been seen to be otherwise since.
+    /// Whether the health endpoint reports a failure and no response has arrived since.
+    unhealthy: bool,
+    /// Service time of this upstream as a multiple of the pool's average.
+    time_ratio: f64,
+    /// Whether the ratio exceeded `SLOW_RATIO` and has not fallen below `NORMAL_RATIO` since.
     slow: bool,
 }
 
 impl PoolUpstream {
-    /// An upstream that was just published.
+    /// Creates the state of a newly published upstream.
     pub fn new(entry: &UpstreamEntry, ramp: WarmRamp) -> Self {
         Self {
             id: entry.id,
@@ -73,13 +77,13 @@
             outlier: OutlierRecord::default(),
             incarnation: entry.incarnation,
             active: entry.state == UpstreamState::Active,
-            unwell: false,
-            pace: 1.0,
+            unhealthy: false,
+            time_ratio: 1.0,
             slow: false,
         }
     }
 
-    /// Takes a new publication of the same upstream; another incarnation begins anew.
+    /// Applies a new configuration entry. A different generation resets everything but the usage.
     pub fn publish(&mut self, now: Instant, entry: &UpstreamEntry) {
         if entry.incarnation != self.incarnation {
             let usage = self.usage;
@@ -92,33 +96,34 @@
         self.active = entry.state == UpstreamState::Active;
     }
 
-    /// Whether it takes new work as far as is published.
+    /// Returns whether the published state allows new work.
     pub fn is_active(&self) -> bool {
         self.active
     }
 
-    /// Whether time alone may change how it is used.
-    pub fn is_unsettled(&self) -> bool {
-        self.limit.is_unsettled()
+    /// Returns whether the state changes with time alone.
+    pub fn is_time_dependent(&self) -> bool {
+        self.limit.is_time_dependent()
             || self.ramp.is_cold()
             || self.outlier.is_ejected()
             || self.is_avoided()
     }
 
-    /// Whether it is used only when others are full.
+    /// Returns whether the upstream is used only when the others are full.
     pub fn is_avoided(&self) -> bool {
-        self.unwell || self.slow
+        self.unhealthy || self.slow
     }
 
-    /// Slots that may be in use now. `spare_cold` is false when most of the pool is cold.
+    /// Returns the number of slots that may be in use. `limits_cold` is false when most upstreams
+    /// of the pool are cold.
     ///
-    /// A draining upstream has them too, for the flows that are established there.
-    pub fn compute_open(&self, now: Instant, spare_cold: bool, settings: &LoadSettings) -> u32 {
+    /// A draining upstream has open slots too, for its established flows.
+    pub fn compute_open(&self, now: Instant, limits_cold: bool, settings: &LoadSettings) -> u32 {
         if self.outlier.is_ejected() {
             return 0;
         }
         let mut open = self.limit.allowed();
-        if spare_cold {
+        if limits_cold {
             open = open.min(self.ramp.allowed(now, self.slots, settings.ramp_length));
         }
         if self.outlier.is_on_probation() {
@@ -127,38 +132,39 @@
         open
     }
 
-    /// Learns of a whole answer after `held`, where the pool's average is `average`.
-    pub fn answered(&mut self, held: Duration, average: Duration) {
+    /// Records a whole response to a request that held its slot for `held`, where the pool's
+    /// average is `average`.
+    pub fn record_response(&mut self, held: Duration, average: Duration) {
         let ratio = held.as_secs_f64() / average.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.pace += (ratio.min(LONGEST_SAMPLE) - self.pace) * NEWEST_WEIGHT;
-        self.judge_pace();
+        self.time_ratio += (ratio.min(MAX_SAMPLE_RATIO) - self.time_ratio) * NEW_SAMPLE_WEIGHT;
+        self.update_slow();
         self.outlier.answered();
-        self.limit.answered();
-        self.unwell = false;
+        self.limit.record_response();
+        self.unhealthy = false;
     }
 
-    /// Learns what the health endpoint said. It only lowers the preference: an endpoint that lies
-    /// must not take a working upstream out of use.
-    pub fn report(&mut self, healthy: bool) {
-        self.unwell = !healthy;
+    /// Records the result of the health endpoint. It only lowers the preference, because a wrong
+    /// result must not take a working upstream out of use.
+    pub fn report_health(&mut self, healthy: bool) {
+        self.unhealthy = !healthy;
     }
 
-    /// Lets `passed` go by.
+    /// Advances the time by `passed`.
     pub fn tick(&mut self, now: Instant, passed: Duration, settings: &LoadSettings) {
         self.limit.tick(now, settings.limit_probe);
         self.ramp.tick(now, settings.ramp_length);
         self.outlier.tick(now);
         if self.busy == 0 {
-            let recovered = (PACE_RECOVERY * passed.as_secs_f64()).min(1.0);
-            self.pace += (1.0 - self.pace) * recovered;
-            self.judge_pace();
+            let recovered = (RATIO_RECOVERY_PER_SECOND * passed.as_secs_f64()).min(1.0);
+            self.time_ratio += (1.0 - self.time_ratio) * recovered;
+            self.update_slow();
         }
     }
 
-    fn judge_pace(&mut self) {
+    fn update_slow(&mut self) {
         self.slow = match self.slow {
-            true => self.pace >= USUAL_PACE,
-            false => self.pace > SLOW_PACE,
+            true => self.time_ratio >= NORMAL_RATIO,
+            false => self.time_ratio > SLOW_RATIO,
         };
     }
 }
--- a/lib/src/record_query.rs
+++ b/lib/src/record_query.rs
@@ -1,4 +1,4 @@
-//! What hosts ask each other about a request before one takes it over.
+//! Messages between hosts about the record of a request, exchanged before one host accepts it.
 
 use std::time::Duration;
 
@@ -7,36 +7,37 @@
 use serde_with::DurationMilliSeconds;
 use serde_with::serde_as;
 
-use crate::cell_heartbeat::HeartbeatEcho;
+use crate::group_heartbeat::HeartbeatEcho;
 use crate::ids::FlowDigest;
 use crate::ids::RequestId;
 use crate::request_table::RequestKey;
 
-/// Asks a peer whether it has taken on a request, and to promise not to if it has not.
+/// Asks a peer whether it has accepted a request. A peer that has not promises not to accept it.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordQuery {
-    /// Number that the reply repeats; one for each time that a host decides on a request, so that
-    /// a late reply is never taken for one to a later question.
+    /// Number that the reply repeats. It is different for each decision on a request, so that a
+    /// late reply is not matched to a later query.
     pub number: u64,
     /// Digest of the flow.
     pub flow: FlowDigest,
-    /// The request's number in the flow.
+    /// Number of the request within its flow.
     pub request: RequestId,
-    /// The receiver's newest heartbeat that the sender had heard; dates the query.
+    /// The newest heartbeat of the receiver that the sender has received; it gives the receiver a
+    /// lower bound on when the query was sent.
     pub echo: Option<HeartbeatEcho>,
-    /// Time in milliseconds since the caller first sent the request, at most.
+    /// Maximum time in milliseconds since the caller first sent the request.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
-    /// Time in milliseconds until the promise may be forgotten.
+    /// Time in milliseconds for which the promise has to be kept.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub remaining: Duration,
-    /// Digest of the members that the sender asks.
+    /// Digest of the member list that the sender uses.
     pub member_set: u32,
 }
 
 impl RecordQuery {
-    /// The request it is about.
+    /// The key of the request that the query is about.
     pub fn key(&self) -> RequestKey {
         RequestKey {
             flow: self.flow,
@@ -45,32 +46,34 @@
     }
 }
 
-/// What a peer knows of a request, in the order of how much that is.
+/// What a peer knows about a request, in ascending order of certainty that the request was
+/// accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RecordState {
-    /// It has not taken it on, no process that it replaced can have, and it will not.
+    /// The peer has not accepted the request, neither has an earlier process of the peer, and it
+    /// will not accept it.
     Absent,
-    /// It cannot tell: the request is older than its process or its list of members.
+    /// The peer cannot tell, because the request is older than its process or its member list.
     Unsure,
-    /// It has taken it on and answers further copies.
+    /// The peer has accepted the request and replies to further copies.
     Held,
 }
 
-/// Answers a [`RecordQuery`].
+/// The reply to a [`RecordQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordReply {
     /// Number of the query.
     pub number: u64,
     /// Digest of the flow.
     pub flow: FlowDigest,
-    /// The request's number in the flow.
+    /// Number of the request within its flow.
     pub request: RequestId,
-    /// What the sender knows.
+    /// What the sender knows about the request.
     pub state: RecordState,
 }
 
 impl RecordReply {
-    /// The request it is about.
+    /// The key of the request that the reply is about.
     pub fn key(&self) -> RequestKey {
         RequestKey {
             flow: self.flow,
--- a/lib/src/request_system.rs
+++ b/lib/src/request_system.rs
@@ -1,4 +1,5 @@
-//! What the owner of a flow does with its caller's requests.
+//! Handles requests at the owner of their flow: admission, retransmissions, cancellation and
+//! refusal.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,11 +14,11 @@
 use crate::host_core::reply;
 use crate::ids::FlowDigest;
 use crate::ids::UpstreamId;
-use crate::load_policy::JobEnd;
-use crate::load_policy::LoadJob;
-use crate::membership::CLAIM_MARGIN;
-use crate::membership::FREEZE_GAP;
-use crate::request_table::RECORD_MEMORY;
+use crate::load_policy::AttemptOutcome;
+use crate::load_policy::SubmittedRequest;
+use crate::membership::CLOCK_DRIFT_MARGIN;
+use crate::membership::STALL_THRESHOLD;
+use crate::request_table::MIN_RECORD_LIFETIME;
 use crate::request_table::RequestKey;
 use crate::request_table::RequestRecord;
 use crate::request_table::RequestStage;
@@ -34,26 +35,28 @@
 use crate::wire_frame::UpstreamBody;
 use crate::wire_frame::UpstreamFrame;
 
-/// A deadline further away is taken for this, for records are kept as long.
-pub(crate) const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
-/// How long an upstream's reply to a cancellation is waited for.
-const CANCEL_WAIT: Duration = Duration::from_millis(500);
-/// When to come back after a refusal that waits for a configuration.
-const CONFIG_RETRY: Duration = Duration::from_millis(500);
+/// Upper bound on the time that a caller may wait for a request. Records are kept for as long as a
+/// request may last, so a longer time is shortened to this.
+pub(crate) const MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(3_600);
+/// How long a cancelled request waits for the upstream's reply to the cancellation.
+const CANCEL_REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Retry delay that a refusal carries when the host lacks a usable configuration.
+const CONFIG_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How a caller's frame came here.
+/// Where a caller's frame came from and how it reached this host.
 #[derive(Clone, Copy)]
 pub(crate) struct FrameOrigin {
-    /// The caller that sent it.
+    /// The caller that sent the frame.
     pub caller: SocketAddr,
-    /// How often hosts have forwarded it.
+    /// Number of times that hosts have forwarded the frame.
     pub hops: u8,
-    /// No earlier than this a host read it from the caller; `None` for any time.
+    /// Lower bound on the time at which a host read the frame from the caller; `None` if there is
+    /// no known bound.
     pub read: Option<Instant>,
 }
 
 impl HostCore {
-    pub(crate) fn own_caller_frame(
+    pub(crate) fn handle_owned_frame(
         &mut self,
         now: Instant,
         origin: FrameOrigin,
@@ -70,7 +73,7 @@
             CallerBody::Open => self.open_flow(now, caller, digest, frame, actions),
             CallerBody::Request(body) => {
                 let key = key_of(body.request);
-                self.take_request(now, origin, key, frame, body, actions);
+                self.receive_request(now, origin, key, frame, body, actions);
             }
             CallerBody::Ack { request } => self.acknowledge(key_of(*request)),
             CallerBody::Cancel { request } => self.cancel_request(now, key_of(*request), actions),
@@ -85,7 +88,7 @@
         }
     }
 
-    fn take_request(
+    fn receive_request(
         &mut self,
         now: Instant,
         origin: FrameOrigin,
@@ -97,8 +100,8 @@
         let request = body.request;
         let caller = origin.caller;
         if self.requests.get(key).is_some() {
-            self.note_copy(now, origin, key, body);
-            return self.take_copy(now, key, frame, actions);
+            self.merge_retransmission(now, origin, key, body);
+            return self.answer_retransmission(now, key, frame, actions);
         }
         let service = match self.service_of(frame) {
             Ok(service) => service.id,
@@ -108,7 +111,7 @@
             let code = ResultCode::HostDraining;
             return refuse(caller, frame, Some(request), code, actions);
         }
-        let deadline = now + body.remaining.min(LONGEST_DEADLINE);
+        let deadline = now + body.remaining.min(MAX_REQUEST_TIMEOUT);
         let takeover = TakeoverState::new(now, origin.read, frame.clone(), origin.hops);
         let record = RequestRecord {
             caller,
@@ -121,18 +124,20 @@
             retry_reason: None,
             stage: RequestStage::Deciding(takeover),
             sent_after: self.sent_after(origin.read, body.age),
-            taken: false,
+            accepted: false,
             exclusive: false,
             deadline,
             settled_deadline: deadline + self.settings.max_datagram_age,
-            forget_deadline: deadline.max(now + RECORD_MEMORY) + self.settings.max_datagram_age,
+            forget_deadline: deadline.max(now + MIN_RECORD_LIFETIME)
+                + self.settings.max_datagram_age,
         };
         self.requests.insert(key, record);
         self.decide(now, key, actions);
     }
 
-    /// Learns from a further copy: a later deadline, or a closer bound on the first sending.
-    fn note_copy(
+    /// Updates a record from a retransmission of its request: extends the deadlines, and tightens
+    /// the lower bound on when the request was first sent.
+    fn merge_retransmission(
         &mut self,
         now: Instant,
         origin: FrameOrigin,
@@ -144,16 +149,16 @@
         let Some(record) = self.requests.get_mut(key) else {
             return;
         };
-        let deadline = now + body.remaining.min(LONGEST_DEADLINE);
+        let deadline = now + body.remaining.min(MAX_REQUEST_TIMEOUT);
         record.sent_after = record.sent_after.max(sent_after);
         let settled = deadline + max_datagram_age;
-        let forget = deadline.max(now + RECORD_MEMORY) + max_datagram_age;
+        let forget = deadline.max(now + MIN_RECORD_LIFETIME) + max_datagram_age;
         record.settled_deadline = record.settled_deadline.max(settled);
         record.forget_deadline = record.forget_deadline.max(forget);
     }
 
-    /// Answers a further copy of a request from its record.
-    fn take_copy(
+    /// Replies to a retransmission from the record of its request.
+    fn answer_retransmission(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -172,7 +177,7 @@
             }
             RequestStage::HeldBy(holder) => {
                 let holder = *holder;
-                self.pass_to_holder(now, key, holder, frame, actions);
+                self.forward_to_holder(now, key, holder, frame, actions);
             }
             RequestStage::Answered(answer) => {
                 for part in answer.parts() {
@@ -188,7 +193,7 @@
         }
     }
 
-    /// Hands a request that this host has taken on to the load policy.
+    /// Submits an accepted request to the load policy.
     pub(crate) fn submit(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
         let pinned = match self.pin_request(now, key, actions) {
             FlowPin::Free => None,
@@ -198,7 +203,7 @@
         let Some(record) = self.requests.get(key) else {
             return;
         };
-        let job = LoadJob {
+        let job = SubmittedRequest {
             key,
             caller: record.caller.ip(),
             service: record.service,
@@ -211,7 +216,7 @@
         self.carry_out(now, decisions, actions);
     }
 
-    /// Takes a job that waits back from the policy, which may then decide on others.
+    /// Withdraws a queued request from the load policy, which may then decide on others.
     pub(crate) fn withdraw_job(
         &mut self,
         now: Instant,
@@ -228,10 +233,12 @@
             .release_answer(key, RequestStage::Acknowledged);
     }
 
-    /// Gives a request up for its caller.
+    /// Cancels a request on behalf of its caller.
     ///
-    /// One that waits has not run. One that was sent races its start: only the upstream's word
-    /// that it did not and will not start it proves that, so the host waits a little for it.
+    /// A queued request has not run. For a request that was sent, the cancellation may arrive after
+    /// the upstream started it. Only the upstream's reply that it did not and will not start the
+    /// request proves that it did not run, so the host waits up to [`CANCEL_REPLY_TIMEOUT`] for
+    /// that reply.
     fn cancel_request(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
         let Some(record) = self.requests.get_mut(key) else {
             return;
@@ -242,15 +249,15 @@
                 self.refuse_request(key, refusal, actions);
             }
             RequestStage::Waiting => {
-                let outcome = waiting_outcome(record);
+                let outcome = outcome_before_send(record);
                 self.refuse_request(key, cancelled(key.request, outcome), actions);
                 self.withdraw_job(now, key, actions);
             }
             RequestStage::Running(attempt) => {
-                let limit = record.deadline.min(now + CANCEL_WAIT);
+                let limit = record.deadline.min(now + CANCEL_REPLY_TIMEOUT);
                 let deadline = *attempt.cancel_deadline.get_or_insert(limit);
                 let tag = attempt.tag;
-                self.requests.remind(deadline, key);
+                self.requests.schedule(deadline, key);
                 self.send_upstream(tag, UpstreamBody::Cancel, actions);
             }
             RequestStage::HeldBy(_)
@@ -260,7 +267,7 @@
         }
     }
 
-    /// Sends a request that was taken on to an upstream.
+    /// Sends an accepted request to an upstream.
     pub(crate) fn send_attempt(
         &mut self,
         now: Instant,
@@ -268,7 +275,7 @@
         upstream: UpstreamId,
         actions: &mut Vec<HostAction>,
     ) {
-        let Some(frame) = self.frame_of(key) else {
+        let Some(frame) = self.flow_frame(key) else {
             return;
         };
         let Some(record) = self.requests.get(key) else {
@@ -288,11 +295,11 @@
             let refusal = RefusalBody {
                 request: Some(key.request),
                 code: ResultCode::NoUpstream,
-                outcome: waiting_outcome(record),
-                retry_after: CONFIG_RETRY,
+                outcome: outcome_before_send(record),
+                retry_after: CONFIG_RETRY_DELAY,
             };
             self.refuse_request(key, refusal, actions);
-            return self.end_attempt(now, key, JobEnd::Cancelled, actions);
+            return self.end_attempt(now, key, AttemptOutcome::Cancelled, actions);
         };
         self.next_attempt += 1;
         if let Some(record) = self.requests.get_mut(key) {
@@ -307,22 +314,22 @@
         self.send_upstream(tag, body, actions);
     }
 
-    /// No earlier than this a request was first sent that was `age` old in a frame that a host read
-    /// at `read` or later; `None` for any time. The frame may have waited for a freeze that was too
-    /// short to be noticed.
+    /// Lower bound on the time at which a request was first sent, given its stated `age` in a frame
+    /// that a host read at `read` or later; `None` if there is no known bound. The frame may have
+    /// been delayed by a stall shorter than [`STALL_THRESHOLD`], which no host detects.
     fn sent_after(&self, read: Option<Instant>, age: Duration) -> Option<Instant> {
-        let under_way = self.settings.max_datagram_age + FREEZE_GAP;
-        read?.checked_sub(age + under_way + CLAIM_MARGIN)
+        let max_transit = self.settings.max_datagram_age + STALL_THRESHOLD;
+        read?.checked_sub(age + max_transit + CLOCK_DRIFT_MARGIN)
     }
 
-    /// Records a refusal, so that later copies of the request get the same, and gives it at once.
+    /// Refuses a request and records the refusal, so that every retransmission gets the same one.
     pub(crate) fn refuse_request(
         &mut self,
         key: RequestKey,
         refusal: RefusalBody,
         actions: &mut Vec<HostAction>,
     ) {
-        let Some(frame) = self.frame_of(key) else {
+        let Some(frame) = self.flow_frame(key) else {
             return;
         };
         let Some(record) = self.requests.get_mut(key) else {
@@ -335,8 +342,8 @@
         actions.push(to_caller(record.caller, reply(&frame, body)));
     }
 
-    /// A frame without content that names the flow of a request.
-    fn frame_of(&self, key: RequestKey) -> Option<CallerFrame> {
+    /// Returns a frame with an empty body that identifies the flow of a request.
+    fn flow_frame(&self, key: RequestKey) -> Option<CallerFrame> {
         let record = self.requests.get(key)?;
         Some(CallerFrame {
             service: record.address,
@@ -381,7 +388,8 @@
         body: UpstreamBody,
         actions: &mut Vec<HostAction>,
     ) {
-        // The address may belong to another process by now, which must not get the frame.
+        // The upstream's address may have been reused by another process, which must not get the
+        // frame.
         let reach = self.flows.process_reach(tag.upstream, tag.incarnation);
         let UpstreamReach::At(address) = reach else {
             return;
@@ -397,8 +405,8 @@
     HostAction::ToCaller { caller, frame }
 }
 
-/// Refuses what this host has no record of. A copy may have reached another host, so that only an
-/// owner with a record can say that the request did not run.
+/// Refuses a request that this host has no record of. The outcome is unknown, because a copy may
+/// have reached another host; only an owner with a record can state that a request did not run.
 pub(crate) fn refuse(
     caller: SocketAddr,
     frame: &CallerFrame,
@@ -410,7 +418,7 @@
         request,
         code,
         outcome: RunOutcome::Unknown,
-        retry_after: CONFIG_RETRY,
+        retry_after: CONFIG_RETRY_DELAY,
     });
     actions.push(HostAction::Count(code));
     actions.push(to_caller(caller, reply(frame, body)));
@@ -425,8 +433,8 @@
     }
 }
 
-/// Whether a request that no attempt is under way for has run.
-pub(crate) fn waiting_outcome(record: &RequestRecord) -> RunOutcome {
+/// Returns what is known of the outcome of a request that has no attempt in progress.
+pub(crate) fn outcome_before_send(record: &RequestRecord) -> RunOutcome {
     match record.is_proved_not_run() {
         true => RunOutcome::NotRun,
         false => RunOutcome::Unknown,
--- a/lib/src/request_table.rs
+++ b/lib/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that this host has decided on, by flow and number.
+//! Records of the requests that this host has received, by flow digest and request number.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,49 +23,51 @@
 use crate::wire_frame::RefusalBody;
 use crate::wire_frame::RoutingTag;
 
-/// Most bytes of whole answers that a host keeps for callers that have not acknowledged them.
-pub const ANSWER_BYTES: usize = 16 << 20;
+/// Maximum total size in bytes of the complete responses that a host keeps for callers that have
+/// not acknowledged them.
+pub const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How long a request is remembered at least, from its last copy on.
+/// Minimum time that a request's record is kept after its last copy arrived.
 ///
-/// A caller that was told that its deadline passed may ask again with the same number. Whoever has
-/// no record of a request that is older than this cannot tell whether it was run and forgotten, and
-/// never takes it on. At 2,000 requests a second this keeps 60,000 records of about 300 bytes.
-pub const RECORD_MEMORY: Duration = Duration::from_secs(30);
+/// A caller whose deadline passed may send the request again with the same number. A host without a
+/// record cannot tell whether a request older than this ran and was then forgotten, so it never
+/// accepts one. At 2,000 requests a second, 60,000 records of about 300 bytes are kept.
+pub const MIN_RECORD_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Identity of a request on every host.
+/// Identifies a request; the same on every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// The flow it belongs to.
+    /// Digest of the flow that the request belongs to.
     pub flow: FlowDigest,
-    /// Its number within the flow.
+    /// Number of the request within its flow.
     pub request: RequestId,
 }
 
-/// What is known so far of whether this host may take a request on.
+/// What is known so far about whether this host may accept a request.
 #[derive(Clone, Debug)]
 pub struct TakeoverState {
-    /// The frame that brought it.
+    /// The frame that carried the request.
     pub frame: CallerFrame,
-    /// When that arrived.
+    /// When the frame arrived.
     pub arrived: Instant,
-    /// No earlier than this a host read it from the caller; `None` for any time.
+    /// Lower bound on the time at which a host read the frame from the caller; `None` if there is
+    /// no known bound.
     pub read: Option<Instant>,
-    /// How often it was forwarded; at the limit it is not passed on again, or two hosts of
-    /// different views would pass it to and fro.
+    /// Number of times that the frame was forwarded. At the limit it is not forwarded again,
+    /// because two hosts with different member lists would forward it to each other endlessly.
     pub hops: u8,
-    /// Number of the query to peers; zero before they were asked.
+    /// Number of the query to the peers; zero until it is sent.
     pub query_number: u64,
-    /// When the peers were first asked, if they were.
+    /// When the query was first sent, if it was.
     pub queried: Option<Instant>,
-    /// When those that have not replied are asked again.
+    /// When the query is sent again to the peers that have not replied.
     pub next_query: Instant,
-    /// What peers have replied.
+    /// Replies to the query, by peer.
     pub replies: BTreeMap<HostId, RecordState>,
 }
 
 impl TakeoverState {
-    /// Starts with nothing known.
+    /// Creates the state of a request that no peer was queried about.
     pub fn new(now: Instant, read: Option<Instant>, frame: CallerFrame, hops: u8) -> Self {
         Self {
             frame,
@@ -83,35 +85,35 @@
 /// An attempt that was sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct RunningAttempt {
-    /// What it was sent with; only frames that echo it belong to it.
+    /// Tag that the attempt was sent with; only frames that echo it belong to the attempt.
     pub tag: RoutingTag,
-    /// The parts that have arrived.
+    /// The parts of the response that have arrived.
     pub answer: Option<AnswerBuffer>,
-    /// When waiting for the upstream's reply to a cancellation ends, once the caller cancelled.
+    /// When the wait for the upstream's reply to a cancellation ends; set once the caller cancels.
     pub cancel_deadline: Option<Instant>,
 }
 
-/// How far a request has come.
+/// Stage of a request at this host.
 #[derive(Clone, Debug)]
 pub enum RequestStage {
-    /// It is not known yet whether this host may take it on.
+    /// It is not known yet whether this host may accept the request.
     Deciding(TakeoverState),
-    /// Another host has taken it on; copies are passed there.
+    /// Another host has accepted the request; copies are forwarded to it.
     HeldBy(HostId),
-    /// It was taken on, and no attempt is under way.
+    /// The request was accepted, and no attempt is in progress.
     Waiting,
-    /// It was sent, and its answer is not whole.
+    /// The request was sent to an upstream, and its response is incomplete.
     Running(RunningAttempt),
-    /// Its whole answer has arrived; kept so that the caller may ask for it again.
+    /// The complete response has arrived; it is kept for retransmissions of the request.
     Answered(AnswerBuffer),
-    /// Its answer has arrived and is no longer held: the caller has acknowledged it.
+    /// The response has arrived and is no longer kept, because the caller acknowledged it.
     Acknowledged,
-    /// It was refused; every copy gets the same refusal.
+    /// The request was refused; every retransmission gets the same refusal.
     Refused(RefusalBody),
 }
 
 impl RequestStage {
-    /// Whether the host still owes the caller an outcome.
+    /// Whether the request has no outcome yet.
     pub fn is_in_progress(&self) -> bool {
         match self {
             Self::Deciding(_) | Self::Waiting | Self::Running(_) => true,
@@ -120,118 +122,124 @@
     }
 }
 
-/// One request.
+/// Record of one request.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// The caller that waits.
+    /// Address of the caller.
     pub caller: SocketAddr,
-    /// The address it asked.
+    /// Service address that the caller sent the request to.
     pub address: ServiceAddress,
     /// The service at that address when the request arrived.
     pub service: ServiceId,
-    /// The flow, as the caller numbers it.
+    /// Number that the caller gave the flow.
     pub flow: FlowId,
-    /// Whether running it twice does no harm.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether its flow was opened, so that only the upstream that holds it may run it.
+    /// Whether the flow is open already, so that only the upstream that holds it may run the
+    /// request.
     pub established: bool,
-    /// What the upstream gets.
+    /// Payload for the upstream; emptied once the request has an outcome.
     pub payload: Bytes,
-    /// How far it has come.
+    /// Current stage.
     pub stage: RequestStage,
-    /// Why its last attempt was not started, until the next is sent.
+    /// Why the last attempt was not started; cleared when the next attempt is sent.
     pub retry_reason: Option<ResultCode>,
-    /// No earlier than this the caller first sent it; `None` when it may be of any age.
+    /// Lower bound on the time at which the caller first sent the request; `None` if its age is
+    /// unknown.
     pub sent_after: Option<Instant>,
-    /// This host has taken it on: it answers for every run of it.
-    pub taken: bool,
-    /// No other host has run it or will. Invariant: holds for every request that was taken on and
-    /// may not run twice.
+    /// Whether this host has accepted the request, which makes it responsible for every run of it.
+    pub accepted: bool,
+    /// Whether it is certain that no other host has run the request or will run it. Invariant: true
+    /// for every accepted request that is not idempotent.
     pub exclusive: bool,
     /// When the caller stops waiting.
     pub deadline: Instant,
-    /// No copy can arrive after this, unless its caller asks again after the deadline.
+    /// No copy arrives after this time unless the caller sends the request again after its
+    /// deadline.
     pub settled_deadline: Instant,
-    /// When the record may go.
+    /// When the record may be removed.
     pub forget_deadline: Instant,
 }
 
 impl RequestRecord {
-    /// Whether it is proved, while it waits, that the request has not run: each of its attempts
-    /// was proved not to have been started, and no other host has run it or will.
+    /// Whether a request without an attempt in progress is proven not to have run: each earlier
+    /// attempt is proven not to have been started, and no other host has run the request or will
+    /// run it.
     pub fn is_proved_not_run(&self) -> bool {
-        self.taken && self.exclusive
+        self.accepted && self.exclusive
     }
 }
 
-/// That this host will not take a request on.
+/// A promise to a peer that this host will not accept a request.
 #[derive(Clone, Copy, Debug)]
 struct TakeoverPromise {
-    /// To whom it was given: the host that has taken the request on, or is about to.
+    /// The peer that received the promise; it has accepted the request or is about to.
     promisee: HostId,
     forget_deadline: Instant,
 }
 
-/// The requests of one host.
+/// The request records of one host.
 #[derive(Default)]
 pub struct RequestTable {
     requests: HashMap<RequestKey, RequestRecord>,
-    /// The requests in progress by the time at which something is due.
+    /// Times at which requests in progress have to be processed, in order.
     due: BTreeSet<(Instant, RequestKey)>,
-    /// Every record by the time at which it is looked at for removal.
-    ends: BTreeSet<(Instant, RequestKey)>,
-    /// Whole answers that are held, oldest first; some may have been acknowledged since.
+    /// Times at which records are checked for removal, in order; one entry per record.
+    removals: BTreeSet<(Instant, RequestKey)>,
+    /// Requests whose complete responses were stored, oldest first; some may have been acknowledged
+    /// since.
     answered: VecDeque<RequestKey>,
     answer_bytes: usize,
-    /// Requests that another host was promised that this one will not take on.
+    /// Requests that this host promised a peer not to accept.
     promises: BTreeMap<RequestKey, TakeoverPromise>,
 }
 
 impl RequestTable {
-    /// The record of a request.
+    /// Returns the record of a request.
     pub fn get(&self, key: RequestKey) -> Option<&RequestRecord> {
         self.requests.get(&key)
     }
 
-    /// The record of a request, to be changed.
+    /// Returns the record of a request for modification.
     pub fn get_mut(&mut self, key: RequestKey) -> Option<&mut RequestRecord> {
         self.requests.get_mut(&key)
     }
 
-    /// Adds a request.
+    /// Adds a record.
     pub fn insert(&mut self, key: RequestKey, record: RequestRecord) {
         self.due.insert((record.deadline, key));
-        self.ends.insert((record.forget_deadline, key));
+        self.removals.insert((record.forget_deadline, key));
         self.requests.insert(key, record);
     }
 
-    /// Removes a request that was not taken on.
+    /// Removes the record of a request that was not accepted.
     pub fn remove(&mut self, key: RequestKey) -> Option<RequestRecord> {
         self.requests.remove(&key)
     }
 
-    /// Promises `promisee` not to take a request on; kept until no copy can arrive.
+    /// Records the promise to `promisee` not to accept a request. The promise is kept until no copy
+    /// of the request can arrive.
     pub fn promise(&mut self, key: RequestKey, promisee: HostId, forget_deadline: Instant) {
-        let former = self.promises.get(&key);
-        let former_deadline = former.map(|promise| promise.forget_deadline);
+        let previous = self.promises.get(&key);
+        let previous_deadline = previous.map(|promise| promise.forget_deadline);
         let promise = TakeoverPromise {
             promisee,
-            forget_deadline: forget_deadline.max(former_deadline.unwrap_or(forget_deadline)),
+            forget_deadline: forget_deadline.max(previous_deadline.unwrap_or(forget_deadline)),
         };
         self.promises.insert(key, promise);
     }
 
-    /// The host that was last promised that this one will not take the request on.
+    /// Returns the host that was last promised that this one will not accept the request.
     pub fn promisee(&self, key: RequestKey) -> Option<HostId> {
         self.promises.get(&key).map(|promise| promise.promisee)
     }
 
-    /// Has [`Self::take_due`] return the request once `time` has come.
-    pub fn remind(&mut self, time: Instant, key: RequestKey) {
+    /// Schedules the request for [`Self::take_due`] at `time`.
+    pub fn schedule(&mut self, time: Instant, key: RequestKey) {
         self.due.insert((time, key));
     }
 
-    /// The requests in progress for which something is due, in the order of time.
+    /// Removes and returns the requests in progress that are due at `now`, ordered by due time.
     pub fn take_due(&mut self, now: Instant) -> Vec<RequestKey> {
         let mut keys = Vec::new();
         while let Some((time, key)) = self.due.first().copied() {
@@ -247,8 +255,9 @@
         keys
     }
 
-    /// Keeps a whole answer; returns the requests whose answers were given up for it, oldest
-    /// first, so that callers which never acknowledge cannot fill the memory.
+    /// Stores a complete response and returns the requests whose responses were dropped to stay
+    /// within [`MAX_ANSWER_BYTES`], oldest first. The limit keeps callers that never acknowledge
+    /// from exhausting the memory.
     pub fn keep_answer(&mut self, key: RequestKey, answer: AnswerBuffer) -> Vec<RequestKey> {
         let Some(record) = self.requests.get_mut(&key) else {
             return Vec::new();
@@ -257,19 +266,19 @@
         record.payload = Bytes::new();
         record.stage = RequestStage::Answered(answer);
         self.answered.push_back(key);
-        let mut given_up = Vec::new();
-        while self.answer_bytes > ANSWER_BYTES {
+        let mut dropped = Vec::new();
+        while self.answer_bytes > MAX_ANSWER_BYTES {
             let Some(oldest) = self.answered.pop_front() else {
                 break;
             };
             if self.release_answer(oldest, RequestStage::Acknowledged) {
-                given_up.push(oldest);
+                dropped.push(oldest);
             }
         }
-        given_up
+        dropped
     }
 
-    /// Replaces a whole answer by `stage`; `false` if none is held.
+    /// Replaces a stored response by `stage`. Returns `false` if no response is stored.
     pub fn release_answer(&mut self, key: RequestKey, stage: RequestStage) -> bool {
         let Some(record) = self.requests.get_mut(&key) else {
             return false;
@@ -282,20 +291,20 @@
         true
     }
 
-    /// Bytes of whole answers that are held.
+    /// Total size of the stored responses in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Forgets the requests of which no copy can arrive any more.
+    /// Removes the promises and records whose retention time is over.
     pub fn expire(&mut self, now: Instant) {
         self.promises
             .retain(|_key, promise| now < promise.forget_deadline);
-        while let Some((time, key)) = self.ends.first().copied() {
+        while let Some((time, key)) = self.removals.first().copied() {
             if time > now {
                 break;
             }
-            self.ends.pop_first();
+            self.removals.pop_first();
             self.expire_one(now, key);
         }
         while let Some(key) = self.answered.front() {
@@ -312,14 +321,14 @@
             return;
         };
         if now < record.forget_deadline {
-            self.ends.insert((record.forget_deadline, key));
+            self.removals.insert((record.forget_deadline, key));
             return;
         }
         self.release_answer(key, RequestStage::Acknowledged);
         self.requests.remove(&key);
     }
 
-    /// How many requests have no outcome yet.
+    /// Number of requests that have no outcome yet.
     pub fn in_progress(&self) -> usize {
         self.requests
             .values()
@@ -327,19 +336,18 @@
             .count()
     }
 
-    /// Whether a copy may still arrive of a request that this host has taken on and that may not
-    /// run twice.
-    pub fn answers_for_any(&self, now: Instant) -> bool {
+    /// Whether copies may still arrive of a non-idempotent request that this host has accepted.
+    pub fn may_receive_copies(&self, now: Instant) -> bool {
         let mut records = self.requests.values();
-        records.any(|record| record.taken && !record.idempotent && now < record.settled_deadline)
+        records.any(|record| record.accepted && !record.idempotent && now < record.settled_deadline)
     }
 
-    /// How many requests are remembered.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -1,9 +1,9 @@
-//! Limits retries to a fraction of the jobs.
+//! Limits retries to a fraction of the requests.
 //!
-//! Load pattern: upstreams fail or shed, and every retry is one job more for those that are left.
-//! Without it the retries of a fault double and treble the load that caused it, and keep the fault
-//! alive after its cause has gone. Each job earns a fraction of a retry (a token bucket); 10 % is
-//! the bound that the users' figures ask for, the burst lets a quiet service ride out one restart.
+//! When upstreams fail or shed, every retry adds a request for those that remain. Without a limit,
+//! the retries double or triple the load that caused a fault and keep the fault alive after its
+//! cause has gone. Each request earns a fraction of a retry (token bucket). The users' requirements
+//! bound the fraction at 10 %; the burst covers one restart in a service with little traffic.
 
 /// Tokens for retries.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
 }
 
 impl RetryBudget {
-    /// Begins with `burst` retries; each job earns `ratio` of one.
+    /// Creates a budget with `burst` retries; each request earns `ratio` of a retry.
     pub fn new(ratio: f64, burst: f64) -> Self {
         Self {
             tokens: burst,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Counts a job.
+    /// Counts a request.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes one retry, if there is one left.
+    /// Takes one retry; returns whether one was left.
     pub fn spend(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
--- a/lib/src/retry_hint.rs
+++ b/lib/src/retry_hint.rs
@@ -1,9 +1,10 @@
-//! When a refused caller should come back.
+//! Chooses when a refused caller should try again.
 //!
-//! Load pattern: many callers refused in the same moment. Without jitter they all return in the
-//! same moment and are refused again, for as long as the overload lasts. The hint grows with the
-//! wait that the queue has now, so that those who return find it shorter, and is spread evenly
-//! over one to two times that (the spread must be of the size of the hint to break the step).
+//! Without jitter, callers that are refused at the same moment return at the same moment and are
+//! refused again, for as long as the overload lasts. The hint grows with the current wait in the
+//! queue, so that returning callers find a shorter queue, and is spread evenly over one to two
+//! times that wait. A spread much smaller than the hint would not break up the synchronized
+//! retries.
 
 use std::time::Duration;
 
@@ -11,27 +12,28 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Draws jittered times to come back.
+/// Generator of retry times with jitter.
 #[derive(Debug)]
 pub struct RetryHint {
     random: StdRng,
-    shortest: Duration,
-    longest: Duration,
+    min: Duration,
+    max: Duration,
 }
 
 impl RetryHint {
-    /// Makes a source of hints between two bounds; the same seed gives the same hints.
-    pub fn new(seed: u64, shortest: Duration, longest: Duration) -> Self {
+    /// Creates a generator with bounds for the time before jitter. The same seed gives the same
+    /// times.
+    pub fn new(seed: u64, min: Duration, max: Duration) -> Self {
         Self {
             random: StdRng::seed_from_u64(seed),
-            shortest,
-            longest,
+            min,
+            max,
         }
     }
 
-    /// A time to come back for a queue that now takes `wait`.
+    /// Returns a retry time for a queue with a current wait of `wait`.
     pub fn after(&mut self, wait: Duration) -> Duration {
-        let base = wait.clamp(self.shortest, self.longest);
+        let base = wait.clamp(self.min, self.max);
         base.mul_f64(self.random.random_range(1.0..2.0))
     }
 }
--- a/lib/src/service_messages.rs
+++ b/lib/src/service_messages.rs
@@ -1,188 +1,230 @@
-//! What the service policy does with messages: as a keeper, and as one that asks keepers.
+//! Messages of the service policy, both as a slot allocator and as a host that requests slots.
 //!
-//! Load pattern: messages are lost, late and repeated. Each is taken for what it says of one ask;
-//! one about an ask that is over changes nothing, except that a grant goes back.
+//! Messages may be lost, delayed or duplicated. Each message refers to one slot request. A message
+//! about a slot request that has ended changes nothing, except that a grant is returned.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::fair_queue::AskHolder;
-use crate::fair_queue::PoolAsk;
+use crate::fair_queue::PoolRequest;
+use crate::fair_queue::SlotRequestKey;
 use crate::ids::HostId;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
-use crate::job_table::JobStage;
-use crate::load_message::AskId;
-use crate::load_message::FormerEnd;
-use crate::load_message::GrantEnd;
+use crate::load_message::GrantOutcome;
 use crate::load_message::LoadBody;
 use crate::load_message::LoadMessage;
-use crate::load_message::SlotAsk;
+use crate::load_message::PreviousRelease;
+use crate::load_message::SlotRequest;
+use crate::load_message::SlotRequestId;
 use crate::load_policy::LoadDecision;
+use crate::policy_request_table::PolicyRequestStage;
 use crate::result_code::ResultCode;
 use crate::service_policy::ServicePolicy;
 use crate::service_policy::refuse;
-use crate::service_tick::QUEUED_CHECK;
+use crate::service_tick::QUEUED_CHECK_INTERVAL;
 use crate::slot_pool::PoolReply;
 
-/// How long a keeper that has not heard of a drain keeps the upstream closed; it doubles there.
-const UNKNOWN_DRAIN: Duration = Duration::from_millis(100);
+/// Time for which an allocator with an older configuration closes an upstream that drains; the
+/// allocator doubles it with each further report.
+const STALE_CONFIG_CLOSE: Duration = Duration::from_millis(100);
 
 impl ServicePolicy {
-    /// Lets a pool of this host take a message to a keeper.
-    pub(crate) fn hear(&mut self, now: Instant, sender: HostId, message: &LoadMessage) {
+    /// Passes a message for an allocator to the pool of this host.
+    pub(crate) fn handle_slot_message(
+        &mut self,
+        now: Instant,
+        sender: HostId,
+        message: &LoadMessage,
+    ) {
         let Some(pool) = self.pools.get_mut(&message.service) else {
             return;
         };
-        let holder = AskHolder {
+        let request_key = SlotRequestKey {
             host: sender,
-            ask: message.ask,
+            slot_request: message.slot_request,
         };
         let mut replies = Vec::new();
         match &message.body {
-            LoadBody::Ask(ask) => {
-                let ask = PoolAsk {
-                    holder,
-                    caller: ask.caller,
-                    upstream: ask.upstream,
-                    since: now.checked_sub(ask.waited).unwrap_or(now),
-                    deadline: now + ask.remaining,
-                    spill: ask.spill,
+            LoadBody::Request(request) => {
+                let request = PoolRequest {
+                    request_key,
+                    caller: request.caller,
+                    upstream: request.upstream,
+                    since: now.checked_sub(request.waited).unwrap_or(now),
+                    deadline: now + request.remaining,
+                    spill: request.spill,
                 };
-                pool.ask(now, ask, &mut replies);
+                pool.request_slot(now, request, &mut replies);
             }
-            LoadBody::Release(end) => pool.release(now, holder, *end, &mut replies),
-            LoadBody::Hold { upstream } => pool.hold(now, holder, *upstream, &mut replies),
+            LoadBody::Release(outcome) => pool.release(now, request_key, *outcome, &mut replies),
+            LoadBody::Hold { upstream } => pool.hold(now, request_key, *upstream, &mut replies),
             LoadBody::Grant { .. } | LoadBody::Queued | LoadBody::Deny { .. } => {}
         }
-        self.note_replies(message.service, replies);
+        self.queue_replies(message.service, replies);
     }
 
-    pub(crate) fn hear_former(&mut self, now: Instant, sender: HostId, former: FormerEnd) {
+    pub(crate) fn handle_previous_release(
+        &mut self,
+        now: Instant,
+        sender: HostId,
+        previous: PreviousRelease,
+    ) {
         let release = LoadMessage {
-            service: former.service,
-            ask: former.ask,
-            body: LoadBody::Release(former.end),
-            former: None,
+            service: previous.service,
+            slot_request: previous.slot_request,
+            body: LoadBody::Release(previous.outcome),
+            previous_release: None,
         };
-        self.hear(now, sender, &release);
+        self.handle_slot_message(now, sender, &release);
     }
 
-    pub(crate) fn note_replies(&mut self, service: ServiceId, replies: Vec<PoolReply>) {
+    pub(crate) fn queue_replies(&mut self, service: ServiceId, replies: Vec<PoolReply>) {
         let replies = replies.into_iter().map(|reply| (service, reply));
         self.replies.extend(replies);
     }
 
-    /// Tells everybody what this host's pools have said, until they say nothing more.
-    pub(crate) fn tell_replies(&mut self, now: Instant, decisions: &mut Vec<LoadDecision>) {
+    /// Sends all replies of this host's pools, including those that arise on the way.
+    pub(crate) fn send_replies(&mut self, now: Instant, decisions: &mut Vec<LoadDecision>) {
         while let Some((service, reply)) = self.replies.pop_front() {
-            let (host, ask, body) = self.reply_message(now, &reply);
+            let (host, slot_request, body) = self.reply_message(now, &reply);
             let message = LoadMessage {
                 service,
-                ask,
+                slot_request,
                 body,
-                former: None,
+                previous_release: None,
             };
             if host == self.host {
-                self.take_reply(now, host, &message, decisions);
+                self.handle_reply(now, host, &message, decisions);
             } else {
-                self.tell(host, message, decisions);
+                self.send_to_peer(host, message, decisions);
             }
         }
     }
 
-    fn reply_message(&mut self, now: Instant, reply: &PoolReply) -> (HostId, AskId, LoadBody) {
+    fn reply_message(
+        &mut self,
+        now: Instant,
+        reply: &PoolReply,
+    ) -> (HostId, SlotRequestId, LoadBody) {
         match *reply {
-            PoolReply::Grant { holder, upstream } => {
-                (holder.host, holder.ask, LoadBody::Grant { upstream })
+            PoolReply::Grant {
+                request_key,
+                upstream,
+            } => (
+                request_key.host,
+                request_key.slot_request,
+                LoadBody::Grant { upstream },
+            ),
+            PoolReply::Queued { request_key } => {
+                (request_key.host, request_key.slot_request, LoadBody::Queued)
             }
-            PoolReply::Queued { holder } => (holder.host, holder.ask, LoadBody::Queued),
-            PoolReply::Deny { holder, code, wait } => {
-                let retry_after = self.hint.after(wait);
+            PoolReply::Deny {
+                request_key,
+                code,
+                wait,
+            } => {
+                let retry_after = self.retry_hint.after(wait);
                 (
-                    holder.host,
-                    holder.ask,
+                    request_key.host,
+                    request_key.slot_request,
                     LoadBody::Deny { code, retry_after },
                 )
             }
             PoolReply::Spill {
-                lender,
+                spill_key,
                 caller,
                 since,
                 deadline,
             } => {
-                let ask = SlotAsk {
+                let request = SlotRequest {
                     upstream: None,
                     caller,
                     waited: now.saturating_duration_since(since),
                     remaining: deadline.saturating_duration_since(now),
                     spill: true,
                 };
-                (lender.keeper, lender.ask, LoadBody::Ask(ask))
-            }
-            PoolReply::Return { lender, end } => {
-                (lender.keeper, lender.ask, LoadBody::Release(end))
-            }
-            PoolReply::Renew { lender, upstream } => {
-                (lender.keeper, lender.ask, LoadBody::Hold { upstream })
+                (
+                    spill_key.allocator,
+                    spill_key.slot_request,
+                    LoadBody::Request(request),
+                )
             }
+            PoolReply::Return { spill_key, outcome } => (
+                spill_key.allocator,
+                spill_key.slot_request,
+                LoadBody::Release(outcome),
+            ),
+            PoolReply::Renew {
+                spill_key,
+                upstream,
+            } => (
+                spill_key.allocator,
+                spill_key.slot_request,
+                LoadBody::Hold { upstream },
+            ),
         }
     }
 
-    /// Takes a keeper's word on an ask of one of this host's jobs.
-    pub(crate) fn take_reply(
+    /// Handles an allocator's reply to a slot request of this host.
+    pub(crate) fn handle_reply(
         &mut self,
         now: Instant,
-        keeper: HostId,
+        allocator: HostId,
         message: &LoadMessage,
         decisions: &mut Vec<LoadDecision>,
     ) {
         match message.body {
             LoadBody::Grant { upstream } => {
-                self.take_grant(now, keeper, message, upstream, decisions);
+                self.handle_grant(now, allocator, message, upstream, decisions);
             }
-            LoadBody::Queued => self.take_queued(now, message.ask),
+            LoadBody::Queued => self.handle_queued(now, message.slot_request),
             LoadBody::Deny { code, retry_after } => {
-                self.take_denial(now, message.ask, code, retry_after, decisions);
+                self.handle_denial(now, message.slot_request, code, retry_after, decisions);
             }
-            LoadBody::Ask(_) | LoadBody::Release(_) | LoadBody::Hold { .. } => {}
+            LoadBody::Request(_) | LoadBody::Release(_) | LoadBody::Hold { .. } => {}
         }
     }
 
-    /// Sends the job that a grant is for; a grant that nobody needs any more goes back at once,
-    /// because its slot would stand idle until it runs out.
-    fn take_grant(
+    /// Sends the request that a grant is for. A grant that is no longer needed is returned at once,
+    /// because its slot would be idle until the grant expires.
+    fn handle_grant(
         &mut self,
         now: Instant,
-        keeper: HostId,
+        allocator: HostId,
         message: &LoadMessage,
         upstream: UpstreamId,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        let record = self.jobs.by_ask(message.ask);
-        let job = match record {
-            Some(record) if matches!(record.stage, JobStage::Waiting { .. }) => &record.job,
+        let record = self.requests.by_slot_request(message.slot_request);
+        let request = match record {
+            Some(record) if matches!(record.stage, PolicyRequestStage::Waiting { .. }) => {
+                &record.request
+            }
             Some(_running) => return,
-            None => return self.give_back(now, keeper, message, GrantEnd::Unused, decisions),
+            None => {
+                return self.give_back(now, allocator, message, GrantOutcome::Unused, decisions);
+            }
         };
-        let key = job.key;
-        if !self.may_send(job, upstream) {
-            // The keeper has an older configuration, and would grant the same slot again at once,
-            // for as long as the two configurations differ. To be told of a shed closes it there.
-            let end = GrantEnd::Shed {
-                retry_after: UNKNOWN_DRAIN,
+        let key = request.key;
+        if !self.may_send(request, upstream) {
+            // The allocator has an older configuration and would grant the same slot again at once,
+            // for as long as the two configurations differ. Reporting a shed closes the upstream
+            // there.
+            let outcome = GrantOutcome::Shed {
+                retry_after: STALE_CONFIG_CLOSE,
             };
-            self.give_back(now, keeper, message, end, decisions);
-            if let Some(record) = self.jobs.remove(key) {
-                self.ask_for(now, record, decisions);
+            self.give_back(now, allocator, message, outcome, decisions);
+            if let Some(record) = self.requests.remove(key) {
+                self.request_slot_for(now, record, decisions);
             }
             return;
         }
-        let stage = JobStage::Running {
+        let stage = PolicyRequestStage::Running {
             upstream,
-            keeper: Some(keeper),
+            allocator: Some(allocator),
         };
-        self.jobs
+        self.requests
             .advance(key, stage, now + self.settings.grant_length / 2);
         decisions.push(LoadDecision::Send { key, upstream });
     }
@@ -190,59 +232,60 @@
     fn give_back(
         &mut self,
         now: Instant,
-        keeper: HostId,
+        allocator: HostId,
         message: &LoadMessage,
-        end: GrantEnd,
+        outcome: GrantOutcome,
         decisions: &mut Vec<LoadDecision>,
     ) {
         let release = LoadMessage {
             service: message.service,
-            ask: message.ask,
-            body: LoadBody::Release(end),
-            former: None,
+            slot_request: message.slot_request,
+            body: LoadBody::Release(outcome),
+            previous_release: None,
         };
-        self.send(now, keeper, release, decisions);
+        self.send(now, allocator, release, decisions);
     }
 
-    fn take_queued(&mut self, now: Instant, ask: AskId) {
-        let Some(record) = self.jobs.by_ask(ask) else {
+    fn handle_queued(&mut self, now: Instant, slot_request: SlotRequestId) {
+        let Some(record) = self.requests.by_slot_request(slot_request) else {
             return;
         };
-        if let JobStage::Waiting { keeper, .. } = record.stage {
-            let key = record.job.key;
-            let stage = JobStage::Waiting {
-                keeper,
+        if let PolicyRequestStage::Waiting { allocator, .. } = record.stage {
+            let key = record.request.key;
+            let stage = PolicyRequestStage::Waiting {
+                allocator,
                 unanswered: 0,
             };
-            let timer = now + QUEUED_CHECK;
-            self.jobs.advance(key, stage, timer);
+            let timer = now + QUEUED_CHECK_INTERVAL;
+            self.requests.advance(key, stage, timer);
         }
     }
 
-    /// Refuses the job that a denial is about, or sends it without a grant.
+    /// Refuses a request whose slot request was denied, or sends it without a grant.
     ///
-    /// A keeper that does not know the upstream of a job's flow has another list of hosts or
-    /// configuration. Its word would end an established flow's request as long as the views
-    /// differ, although the upstream is there; the upstream's own word decides instead.
-    fn take_denial(
+    /// An allocator that does not know the upstream of an established flow has a different host
+    /// list or configuration. Its denial would end the flow's requests while the views differ,
+    /// although the upstream is reachable, so the request goes to the upstream, which decides
+    /// itself.
+    fn handle_denial(
         &mut self,
         now: Instant,
-        ask: AskId,
+        slot_request: SlotRequestId,
         code: ResultCode,
         retry_after: Duration,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        let Some(record) = self.jobs.by_ask(ask) else {
+        let Some(record) = self.requests.by_slot_request(slot_request) else {
             return;
         };
-        if !matches!(record.stage, JobStage::Waiting { .. }) {
+        if !matches!(record.stage, PolicyRequestStage::Waiting { .. }) {
             return;
         }
-        let key = record.job.key;
-        let Some(record) = self.jobs.remove(key) else {
+        let key = record.request.key;
+        let Some(record) = self.requests.remove(key) else {
             return;
         };
-        if code == ResultCode::NoUpstream && record.job.pinned.is_some() {
+        if code == ResultCode::NoUpstream && record.request.pinned.is_some() {
             self.send_without_grant(now, record, decisions);
         } else {
             refuse(&record, code, retry_after, decisions);
--- a/lib/src/service_policy.rs
+++ b/lib/src/service_policy.rs
@@ -1,9 +1,10 @@
-//! The policy that daemons use: each job asks the keeper of a slot for it, and runs under a grant.
+//! Load policy of the daemons: each request gets a slot from the slot allocator and runs under a
+//! grant.
 //!
-//! Load pattern: everything at once. This module only passes asks, grants and ends between jobs
-//! and keepers, of this host and others; the decisions stand in [`crate::slot_pool`] and the
-//! modules it composes, messages in [`crate::service_messages`], the failures of keepers in
-//! [`crate::service_tick`].
+//! This module passes slot requests, grants and outcomes between requests and the allocators of
+//! this host and others. [`crate::slot_pool`] and the modules it composes make the decisions,
+//! [`crate::service_messages`] handles messages, and [`crate::service_tick`] handles failures of
+//! allocators.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,166 +17,167 @@
 use rand::rngs::StdRng;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::allocator_map::AllocatorMap;
 use crate::config_snapshot::ConfigSnapshot;
 use crate::config_snapshot::HostView;
 use crate::config_snapshot::UpstreamState;
-use crate::home_map::HomeMap;
 use crate::host_event::UpstreamReport;
 use crate::ids::HostId;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
-use crate::job_table::JobRecord;
-use crate::job_table::JobStage;
-use crate::job_table::JobTable;
-use crate::load_message::AskId;
 use crate::load_message::CallerTag;
-use crate::load_message::FormerEnd;
-use crate::load_message::GrantEnd;
+use crate::load_message::GrantOutcome;
 use crate::load_message::LoadBody;
 use crate::load_message::LoadMessage;
-use crate::load_message::SlotAsk;
-use crate::load_policy::JobEnd;
+use crate::load_message::PreviousRelease;
+use crate::load_message::SlotRequest;
+use crate::load_message::SlotRequestId;
+use crate::load_policy::AttemptOutcome;
 use crate::load_policy::LoadDecision;
-use crate::load_policy::LoadJob;
 use crate::load_policy::LoadPolicy;
+use crate::load_policy::SubmittedRequest;
 use crate::load_settings::LoadSettings;
+use crate::policy_request_table::PolicyRequest;
+use crate::policy_request_table::PolicyRequestStage;
+use crate::policy_request_table::PolicyRequestTable;
 use crate::request_table::RequestKey;
 use crate::result_code::ResultCode;
 use crate::retry_budget::RetryBudget;
 use crate::retry_hint::RetryHint;
 use crate::slot_pool::PoolReply;
 use crate::slot_pool::SlotPool;
-use crate::spill_desk::FIRST_SPILL;
-use crate::spill_desk::SlotLender;
+use crate::spill_requests::FIRST_SPILL_ID;
+use crate::spill_requests::SpillKey;
 
-/// The policy of one host.
+/// Load policy of one host.
 pub struct ServicePolicy {
     pub(crate) host: HostId,
     pub(crate) settings: Arc<LoadSettings>,
     pub(crate) config: Arc<ConfigSnapshot>,
     pub(crate) hosts: Arc<HostView>,
-    pub(crate) homes: BTreeMap<ServiceId, HomeMap>,
+    pub(crate) allocator_maps: BTreeMap<ServiceId, AllocatorMap>,
     pub(crate) pools: BTreeMap<ServiceId, SlotPool>,
-    pub(crate) jobs: JobTable,
-    /// Jobs sent without a grant, by upstream.
-    pub(crate) direct: BTreeMap<UpstreamId, u32>,
+    pub(crate) requests: PolicyRequestTable,
+    /// Number of requests sent without a grant, by upstream.
+    pub(crate) ungranted: BTreeMap<UpstreamId, u32>,
     pub(crate) random: StdRng,
-    /// Whether keepers have changed since the jobs were last looked through.
-    pub(crate) rehome_due: bool,
+    /// Whether allocators have changed since requests were last reassigned to them.
+    pub(crate) allocators_changed: bool,
     budgets: BTreeMap<ServiceId, RetryBudget>,
-    pub(crate) hint: RetryHint,
-    next_ask: AskId,
-    /// The last end that each other host was told; at most one a host of the cell.
-    former: BTreeMap<HostId, FormerEnd>,
-    /// What the pools of this host have said and nobody was told yet.
+    pub(crate) retry_hint: RetryHint,
+    next_slot_request: SlotRequestId,
+    /// Last release sent to each other host; at most one per host of the ownership group.
+    previous_releases: BTreeMap<HostId, PreviousRelease>,
+    /// Replies of this host's pools that are not yet sent.
     pub(crate) replies: VecDeque<(ServiceId, PoolReply)>,
 }
 
 impl ServicePolicy {
-    /// A policy without configuration; the same seed gives the same decisions.
+    /// Creates a policy without configuration. The same seed gives the same decisions.
     pub fn new(host: HostId, seed: u64, settings: LoadSettings) -> Self {
-        let hint = RetryHint::new(seed, settings.shortest_retry, settings.longest_retry);
+        let retry_hint = RetryHint::new(seed, settings.shortest_retry, settings.longest_retry);
         Self {
             host,
             settings: Arc::new(settings),
             config: Arc::default(),
             hosts: Arc::default(),
-            homes: BTreeMap::new(),
+            allocator_maps: BTreeMap::new(),
             pools: BTreeMap::new(),
-            jobs: JobTable::default(),
-            direct: BTreeMap::new(),
+            requests: PolicyRequestTable::default(),
+            ungranted: BTreeMap::new(),
             random: StdRng::seed_from_u64(seed),
-            rehome_due: false,
+            allocators_changed: false,
             budgets: BTreeMap::new(),
-            hint,
-            // A host that has restarted must not reuse the numbers of grants that still live.
-            next_ask: (seed as AskId) % FIRST_SPILL,
-            former: BTreeMap::new(),
+            retry_hint,
+            // A restarted host must not reuse the numbers of grants that have not expired.
+            next_slot_request: (seed as SlotRequestId) % FIRST_SPILL_ID,
+            previous_releases: BTreeMap::new(),
             replies: VecDeque::new(),
         }
     }
 
-    /// How many jobs have not ended.
-    pub fn job_count(&self) -> usize {
-        self.jobs.len()
+    /// Returns the number of requests that have not ended.
+    pub fn request_count(&self) -> usize {
+        self.requests.len()
     }
 
-    /// How many asks wait at this host's pools.
+    /// Returns the number of slot requests queued at this host's pools.
     pub fn queued_count(&self) -> usize {
         self.pools.values().map(SlotPool::queued).sum()
     }
 
-    /// How many grants of this host's pools are in use.
+    /// Returns the number of grants of this host's pools in use.
     pub fn grant_count(&self) -> usize {
         self.pools.values().map(SlotPool::granted).sum()
     }
 
-    /// Whether an upstream takes new work as far as this host knows.
+    /// Returns whether an upstream takes new work according to this host's configuration.
     pub(crate) fn is_active(&self, id: UpstreamId) -> bool {
         let upstream = self.config.upstreams.get(&id);
         upstream.is_some_and(|entry| entry.state == UpstreamState::Active)
     }
 
-    /// Whether a job may be sent to an upstream: that of its flow in any state, an active one
-    /// otherwise.
-    pub(crate) fn may_send(&self, job: &LoadJob, upstream: UpstreamId) -> bool {
-        match job.pinned {
+    /// Returns whether a request may be sent to an upstream: its flow's upstream in any state,
+    /// otherwise any active upstream.
+    pub(crate) fn may_send(&self, request: &SubmittedRequest, upstream: UpstreamId) -> bool {
+        match request.pinned {
             Some(pinned) => pinned == upstream,
             None => self.is_active(upstream),
         }
     }
 
-    /// Whether a job's flow lives on an upstream that no longer carries the service.
+    /// Returns whether a request's flow is established at an upstream that no longer carries the
+    /// service.
     ///
-    /// Nobody gives away such an upstream's slots, because the keepers follow from the selector.
-    /// Without this case a change of selectors would refuse the requests of established flows.
-    fn is_pinned_outside(&self, job: &LoadJob) -> bool {
-        let Some(pinned) = job.pinned else {
+    /// Allocators follow from the selector, so nobody allocates the slots of such an upstream.
+    /// Without this case, a change of selectors would refuse the requests of established flows.
+    fn is_pinned_to_deselected(&self, request: &SubmittedRequest) -> bool {
+        let Some(pinned) = request.pinned else {
             return false;
         };
-        let service = self.config.services.get(&job.service);
+        let service = self.config.services.get(&request.service);
         service.is_none_or(|service| service.upstreams.binary_search(&pinned).is_err())
     }
 
-    /// The host that gives away slots for a job.
-    pub(crate) fn keeper_for(&self, job: &LoadJob) -> Option<HostId> {
-        let homes = self.homes.get(&job.service)?;
-        let Some(pinned) = job.pinned else {
-            return homes.own_keeper();
+    /// Returns the host that allocates slots for a request.
+    pub(crate) fn allocator_for(&self, request: &SubmittedRequest) -> Option<HostId> {
+        let allocator_map = self.allocator_maps.get(&request.service)?;
+        let Some(pinned) = request.pinned else {
+            return allocator_map.own_allocator();
         };
-        homes.keeper_of(pinned, self.config.upstreams.get(&pinned)?)
+        allocator_map.allocator_of(pinned, self.config.upstreams.get(&pinned)?)
     }
 
-    /// Begins an ask for a job, or refuses it if nobody could answer.
-    pub(crate) fn ask_for(
+    /// Sends a slot request for a request, or refuses the request if there is no allocator.
+    pub(crate) fn request_slot_for(
         &mut self,
         now: Instant,
-        mut record: JobRecord,
+        mut record: PolicyRequest,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        if self.is_pinned_outside(&record.job) {
+        if self.is_pinned_to_deselected(&record.request) {
             return self.send_without_grant(now, record, decisions);
         }
-        let Some(keeper) = self.keeper_for(&record.job) else {
-            if record.job.pinned.is_some() {
+        let Some(allocator) = self.allocator_for(&record.request) else {
+            if record.request.pinned.is_some() {
                 return self.send_without_grant(now, record, decisions);
             }
-            let hint = self.hint.after(Duration::ZERO);
-            return refuse(&record, ResultCode::NoUpstream, hint, decisions);
+            let retry_hint = self.retry_hint.after(Duration::ZERO);
+            return refuse(&record, ResultCode::NoUpstream, retry_hint, decisions);
         };
-        record.ask = self.next_ask;
-        self.next_ask = (self.next_ask + 1) % FIRST_SPILL;
-        record.stage = JobStage::Waiting {
-            keeper,
+        record.slot_request = self.next_slot_request;
+        self.next_slot_request = (self.next_slot_request + 1) % FIRST_SPILL_ID;
+        record.stage = PolicyRequestStage::Waiting {
+            allocator,
             unanswered: 0,
         };
         record.timer = now + self.settings.ask_timeout;
-        let message = ask_message(now, &record);
-        self.jobs.insert(record);
-        self.send(now, keeper, message, decisions);
+        let message = slot_request_message(now, &record);
+        self.requests.insert(record);
+        self.send(now, allocator, message, decisions);
     }
 
-    /// Passes a message to another host, or to this host's own pools.
+    /// Sends a message to another host or to this host's own pools.
     pub(crate) fn send(
         &mut self,
         now: Instant,
@@ -184,75 +186,75 @@
         decisions: &mut Vec<LoadDecision>,
     ) {
         if host == self.host {
-            self.hear(now, host, &message);
+            self.handle_slot_message(now, host, &message);
         } else {
-            self.tell(host, message, decisions);
+            self.send_to_peer(host, message, decisions);
         }
     }
 
-    /// Tells another host something, and repeats the last end that it was told.
-    pub(crate) fn tell(
+    /// Sends a message to another host, and repeats the last release sent to that host.
+    pub(crate) fn send_to_peer(
         &mut self,
         host: HostId,
         mut message: LoadMessage,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        message.former = self.former.get(&host).copied();
-        if let LoadBody::Release(end) = message.body {
-            let former = FormerEnd {
+        message.previous_release = self.previous_releases.get(&host).copied();
+        if let LoadBody::Release(outcome) = message.body {
+            let previous = PreviousRelease {
                 service: message.service,
-                ask: message.ask,
-                end,
+                slot_request: message.slot_request,
+                outcome,
             };
-            self.former.insert(host, former);
+            self.previous_releases.insert(host, previous);
         }
         decisions.push(LoadDecision::Tell { host, message });
     }
 
-    /// Tells the keeper, if there is one, what became of a job's slot or ask.
+    /// Reports the outcome of a slot request or grant to its allocator, if there is one.
     fn release(
         &mut self,
         now: Instant,
-        record: &JobRecord,
-        end: GrantEnd,
+        record: &PolicyRequest,
+        outcome: GrantOutcome,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        let keeper = match record.stage {
-            JobStage::Waiting { keeper, .. } => Some(keeper),
-            JobStage::Running { keeper, .. } => keeper,
+        let allocator = match record.stage {
+            PolicyRequestStage::Waiting { allocator, .. } => Some(allocator),
+            PolicyRequestStage::Running { allocator, .. } => allocator,
         };
-        if let JobStage::Running {
+        if let PolicyRequestStage::Running {
             upstream,
-            keeper: None,
+            allocator: None,
         } = record.stage
-            && let Some(count) = self.direct.get_mut(&upstream)
+            && let Some(count) = self.ungranted.get_mut(&upstream)
         {
             *count = count.saturating_sub(1);
         }
-        if let Some(keeper) = keeper {
+        if let Some(allocator) = allocator {
             let message = LoadMessage {
-                service: record.job.service,
-                ask: record.ask,
-                body: LoadBody::Release(end),
-                former: None,
+                service: record.request.service,
+                slot_request: record.slot_request,
+                body: LoadBody::Release(outcome),
+                previous_release: None,
             };
-            self.send(now, keeper, message, decisions);
+            self.send(now, allocator, message, decisions);
         }
     }
 
-    /// Asks anew for a job whose attempt failed, if the budget of retries allows.
+    /// Requests a slot again after a failed attempt, if the retry budget allows it.
     fn retry(
         &mut self,
         now: Instant,
-        record: JobRecord,
+        record: PolicyRequest,
         retry_after: Duration,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        if self.budget(record.job.service).spend() {
-            self.ask_for(now, record, decisions);
+        if self.budget(record.request.service).spend() {
+            self.request_slot_for(now, record, decisions);
         } else {
-            let hint = self.hint.after(retry_after);
-            refuse(&record, ResultCode::UpstreamShed, hint, decisions);
+            let retry_hint = self.retry_hint.after(retry_after);
+            refuse(&record, ResultCode::UpstreamShed, retry_hint, decisions);
         }
     }
 
@@ -266,134 +268,142 @@
 
 impl LoadPolicy for ServicePolicy {
     fn configure(&mut self, now: Instant, config: &Arc<ConfigSnapshot>) {
-        let former = std::mem::replace(&mut self.config, Arc::clone(config));
-        self.rehome(now, &former);
+        let previous = std::mem::replace(&mut self.config, Arc::clone(config));
+        self.update_allocators(now, &previous);
     }
 
     fn learn_hosts(&mut self, now: Instant, hosts: &Arc<HostView>) {
         self.hosts = Arc::clone(hosts);
         let config = Arc::clone(&self.config);
-        self.homes.clear();
-        self.rehome(now, &config);
+        self.allocator_maps.clear();
+        self.update_allocators(now, &config);
     }
 
-    fn learn_report(&mut self, now: Instant, report: UpstreamReport) {
+    fn handle_report(&mut self, now: Instant, report: UpstreamReport) {
         for pool in self.pools.values_mut() {
-            pool.report(now, report.upstream, report.healthy);
+            pool.report_health(now, report.upstream, report.healthy);
         }
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         now: Instant,
         sender: HostId,
         message: &LoadMessage,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        if let Some(former) = message.former {
-            self.hear_former(now, sender, former);
+        if let Some(previous) = message.previous_release {
+            self.handle_previous_release(now, sender, previous);
         }
-        let lender = SlotLender {
-            keeper: sender,
-            ask: message.ask,
+        let spill_key = SpillKey {
+            allocator: sender,
+            slot_request: message.slot_request,
         };
         match message.body {
-            LoadBody::Ask(_) | LoadBody::Release(_) | LoadBody::Hold { .. } => {
-                self.hear(now, sender, message);
+            LoadBody::Request(_) | LoadBody::Release(_) | LoadBody::Hold { .. } => {
+                self.handle_slot_message(now, sender, message);
             }
-            LoadBody::Grant { upstream } if message.ask >= FIRST_SPILL => {
+            LoadBody::Grant { upstream } if message.slot_request >= FIRST_SPILL_ID => {
                 let mut replies = Vec::new();
                 if let Some(pool) = self.pools.get_mut(&message.service) {
-                    pool.borrow(now, lender, upstream, &mut replies);
+                    pool.borrow(now, spill_key, upstream, &mut replies);
                 }
-                self.note_replies(message.service, replies);
+                self.queue_replies(message.service, replies);
             }
-            LoadBody::Deny { retry_after, .. } if message.ask >= FIRST_SPILL => {
+            LoadBody::Deny { retry_after, .. } if message.slot_request >= FIRST_SPILL_ID => {
                 if let Some(pool) = self.pools.get_mut(&message.service) {
-                    pool.borrow_denied(now, message.ask, retry_after);
+                    pool.borrow_denied(now, message.slot_request, retry_after);
                 }
             }
             LoadBody::Grant { .. } | LoadBody::Queued | LoadBody::Deny { .. } => {
-                self.take_reply(now, sender, message, decisions);
+                self.handle_reply(now, sender, message, decisions);
             }
         }
-        self.tell_replies(now, decisions);
+        self.send_replies(now, decisions);
     }
 
-    fn submit(&mut self, now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>) {
-        self.budget(job.service).earn();
-        let record = JobRecord {
-            job,
-            ask: 0,
+    fn submit(
+        &mut self,
+        now: Instant,
+        request: SubmittedRequest,
+        decisions: &mut Vec<LoadDecision>,
+    ) {
+        self.budget(request.service).earn();
+        let record = PolicyRequest {
+            request,
+            slot_request: 0,
             since: now,
-            stage: JobStage::Waiting {
-                keeper: self.host,
+            stage: PolicyRequestStage::Waiting {
+                allocator: self.host,
                 unanswered: 0,
             },
             may_have_run: false,
             timer: now,
         };
-        self.ask_for(now, record, decisions);
-        self.tell_replies(now, decisions);
+        self.request_slot_for(now, record, decisions);
+        self.send_replies(now, decisions);
     }
 
     fn end(
         &mut self,
         now: Instant,
         key: RequestKey,
-        end: JobEnd,
+        outcome: AttemptOutcome,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        let Some(mut record) = self.jobs.remove(key) else {
+        let Some(mut record) = self.requests.remove(key) else {
             return;
         };
-        let is_waiting = matches!(record.stage, JobStage::Waiting { .. });
-        let grant_end = if is_waiting {
-            GrantEnd::Unused
+        let is_waiting = matches!(record.stage, PolicyRequestStage::Waiting { .. });
+        let grant_outcome = if is_waiting {
+            GrantOutcome::Unused
         } else {
-            grant_end(end)
+            grant_outcome(outcome)
         };
-        self.release(now, &record, grant_end, decisions);
-        match end {
+        self.release(now, &record, grant_outcome, decisions);
+        match outcome {
             _ if is_waiting => {}
-            JobEnd::Answered | JobEnd::Cancelled => {}
-            JobEnd::NotStarted { retry_after } => self.retry(now, record, retry_after, decisions),
-            JobEnd::Lost => {
-                if record.job.idempotent && now < record.job.deadline {
+            AttemptOutcome::Answered | AttemptOutcome::Cancelled => {}
+            AttemptOutcome::NotStarted { retry_after } => {
+                self.retry(now, record, retry_after, decisions);
+            }
+            AttemptOutcome::Lost => {
+                if record.request.idempotent && now < record.request.deadline {
                     record.may_have_run = true;
                     self.retry(now, record, Duration::ZERO, decisions);
                 }
             }
         }
-        self.tell_replies(now, decisions);
+        self.send_replies(now, decisions);
     }
 
     fn withdraw(&mut self, now: Instant, key: RequestKey, decisions: &mut Vec<LoadDecision>) {
-        let Some(record) = self.jobs.remove(key) else {
+        let Some(record) = self.requests.remove(key) else {
             return;
         };
-        self.release(now, &record, GrantEnd::Unused, decisions);
-        self.tell_replies(now, decisions);
+        self.release(now, &record, GrantOutcome::Unused, decisions);
+        self.send_replies(now, decisions);
     }
 
     fn tick(&mut self, now: Instant, decisions: &mut Vec<LoadDecision>) {
-        self.pass_time(now, decisions);
-        self.tell_replies(now, decisions);
+        self.handle_tick(now, decisions);
+        self.send_replies(now, decisions);
     }
 }
 
-fn grant_end(end: JobEnd) -> GrantEnd {
-    match end {
-        JobEnd::Answered => GrantEnd::Answered,
-        JobEnd::NotStarted { retry_after } => GrantEnd::Shed { retry_after },
-        JobEnd::Lost => GrantEnd::Lost,
-        JobEnd::Cancelled => GrantEnd::Cancelled,
+fn grant_outcome(outcome: AttemptOutcome) -> GrantOutcome {
+    match outcome {
+        AttemptOutcome::Answered => GrantOutcome::Answered,
+        AttemptOutcome::NotStarted { retry_after } => GrantOutcome::Shed { retry_after },
+        AttemptOutcome::Lost => GrantOutcome::Lost,
+        AttemptOutcome::Cancelled => GrantOutcome::Cancelled,
     }
 }
 
-/// Refuses a job. One that was lost on the way may have run, and its refusal says so.
+/// Refuses a request. If an attempt was lost, the request may have run, and the result code says
+/// so.
 pub(crate) fn refuse(
-    record: &JobRecord,
+    record: &PolicyRequest,
     code: ResultCode,
     retry_after: Duration,
     decisions: &mut Vec<LoadDecision>,
@@ -404,25 +414,25 @@
         code
     };
     decisions.push(LoadDecision::Refuse {
-        key: record.job.key,
+        key: record.request.key,
         code,
         retry_after,
     });
 }
 
-/// The message that asks for a job's slot.
-pub(crate) fn ask_message(now: Instant, record: &JobRecord) -> LoadMessage {
+/// Returns the message that requests a slot for a request.
+pub(crate) fn slot_request_message(now: Instant, record: &PolicyRequest) -> LoadMessage {
     LoadMessage {
-        service: record.job.service,
-        ask: record.ask,
-        body: LoadBody::Ask(SlotAsk {
-            upstream: record.job.pinned,
-            caller: caller_tag(record.job.caller),
+        service: record.request.service,
+        slot_request: record.slot_request,
+        body: LoadBody::Request(SlotRequest {
+            upstream: record.request.pinned,
+            caller: caller_tag(record.request.caller),
             waited: now.saturating_duration_since(record.since),
-            remaining: record.job.deadline.saturating_duration_since(now),
+            remaining: record.request.deadline.saturating_duration_since(now),
             spill: false,
         }),
-        former: None,
+        previous_release: None,
     }
 }
 
--- a/lib/src/service_tick.rs
+++ b/lib/src/service_tick.rs
@@ -1,8 +1,9 @@
-//! What the service policy does as time passes, and when keepers change or fall silent.
+//! Timers of the service policy, and its reaction to changed or silent allocators.
 //!
-//! Load pattern: a keeper dies or is cut off while jobs wait for its word. Without a timer they
-//! wait until their deadline. An ask is repeated once; then the job is sent without a grant, and
-//! the upstream itself is the judge: what it sheds is proved not run and asks again.
+//! When an allocator fails while requests wait for its reply, the requests would otherwise wait
+//! until their deadline. A slot request is sent again once. Then the request is sent without a
+//! grant, and the upstream decides: a request that it sheds is proved not run and requests a slot
+//! again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,38 +11,38 @@
 
 use rand::RngExt;
 
+use crate::allocator_map::AllocatorMap;
 use crate::config_snapshot::ConfigSnapshot;
 use crate::config_snapshot::ServiceEntry;
-use crate::home_map::HomeMap;
 use crate::ids::HostId;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
-use crate::job_table::JobRecord;
-use crate::job_table::JobStage;
-use crate::load_message::GrantEnd;
+use crate::load_message::GrantOutcome;
 use crate::load_message::LoadBody;
 use crate::load_message::LoadMessage;
 use crate::load_policy::LoadDecision;
+use crate::policy_request_table::PolicyRequest;
+use crate::policy_request_table::PolicyRequestStage;
 use crate::request_table::RequestKey;
 use crate::service_policy::ServicePolicy;
-use crate::service_policy::ask_message;
+use crate::service_policy::slot_request_message;
 use crate::slot_pool::SlotPool;
 use crate::slot_table::PoolMember;
 
-/// How often a host asks whether its ask still waits, once the keeper has said so.
-pub(crate) const QUEUED_CHECK: Duration = Duration::from_millis(250);
-/// Asks without a word in return, after which the job is sent without a grant.
-const MOST_UNANSWERED: u32 = 2;
+/// Interval at which a host checks whether its slot request is still queued at the allocator.
+pub(crate) const QUEUED_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of slot requests without a reply after which the request is sent without a grant.
+const MAX_UNANSWERED: u32 = 2;
 
 impl ServicePolicy {
-    pub(crate) fn pass_time(&mut self, now: Instant, decisions: &mut Vec<LoadDecision>) {
-        if std::mem::take(&mut self.rehome_due) {
-            for key in self.jobs.keys() {
-                self.rehome_job(now, key, decisions);
+    pub(crate) fn handle_tick(&mut self, now: Instant, decisions: &mut Vec<LoadDecision>) {
+        if std::mem::take(&mut self.allocators_changed) {
+            for key in self.requests.keys() {
+                self.update_request_allocator(now, key, decisions);
             }
         }
-        while let Some(record) = self.jobs.due(now).cloned() {
-            self.run_timer(now, &record, decisions);
+        while let Some(record) = self.requests.due(now).cloned() {
+            self.handle_timer(now, &record, decisions);
         }
         let services: Vec<ServiceId> = self.pools.keys().copied().collect();
         for service in services {
@@ -49,40 +50,45 @@
             if let Some(pool) = self.pools.get_mut(&service) {
                 pool.tick(now, &mut replies);
             }
-            self.note_replies(service, replies);
+            self.queue_replies(service, replies);
         }
     }
 
-    /// Computes anew the keepers of services that differ from `former`, and their pools.
-    pub(crate) fn rehome(&mut self, now: Instant, former: &ConfigSnapshot) {
+    /// Recomputes the allocators and pools of services that differ from `previous`.
+    pub(crate) fn update_allocators(&mut self, now: Instant, previous: &ConfigSnapshot) {
         let config = Arc::clone(&self.config);
-        self.homes
-            .retain(|service, _homes| config.services.contains_key(service));
+        self.allocator_maps
+            .retain(|service, _allocator_map| config.services.contains_key(service));
         self.pools
             .retain(|service, _pool| config.services.contains_key(service));
         for service in config.services.values() {
-            let is_known = self.homes.contains_key(&service.id);
-            if !is_known || differs(service, former, &config) {
-                self.rehome_service(now, service, former);
+            let is_known = self.allocator_maps.contains_key(&service.id);
+            if !is_known || has_changed(service, previous, &config) {
+                self.update_service_allocators(now, service, previous);
             }
         }
-        self.rehome_due = true;
+        self.allocators_changed = true;
     }
 
-    fn rehome_service(&mut self, now: Instant, service: &ServiceEntry, former: &ConfigSnapshot) {
+    fn update_service_allocators(
+        &mut self,
+        now: Instant,
+        service: &ServiceEntry,
+        previous: &ConfigSnapshot,
+    ) {
         let config = Arc::clone(&self.config);
         let pool_slots = self.settings.pool_slots;
-        let homes = HomeMap::new(self.host, service, &config, &self.hosts, pool_slots);
-        let is_first = former.upstreams.is_empty();
+        let allocator_map = AllocatorMap::new(self.host, service, &config, &self.hosts, pool_slots);
+        let is_first = previous.upstreams.is_empty();
         let members: Vec<PoolMember<'_>> = service
             .upstreams
             .iter()
             .filter_map(|id| config.upstreams.get(id))
-            .filter(|entry| homes.is_in_cell(entry.id))
-            .filter(|entry| homes.keeper_of(entry.id, entry) == Some(self.host))
+            .filter(|entry| allocator_map.is_in_group(entry.id))
+            .filter(|entry| allocator_map.allocator_of(entry.id, entry) == Some(self.host))
             .map(|entry| PoolMember {
                 entry,
-                is_new: !is_first && !former.upstreams.contains_key(&entry.id),
+                is_new: !is_first && !previous.upstreams.contains_key(&entry.id),
             })
             .collect();
         if members.is_empty() {
@@ -93,141 +99,165 @@
                 .pools
                 .entry(service.id)
                 .or_insert_with(|| SlotPool::new(Arc::clone(settings)));
-            pool.configure(now, members.into_iter(), homes.peers_of(self.host));
+            pool.configure(
+                now,
+                members.into_iter(),
+                allocator_map.other_allocators(self.host),
+            );
         }
-        self.homes.insert(service.id, homes);
+        self.allocator_maps.insert(service.id, allocator_map);
     }
 
-    /// Brings a job to the keeper that now is in charge: one that waits asks there, one that runs
-    /// tells it of the slot in use, so that the new keeper does not give it away again.
-    fn rehome_job(&mut self, now: Instant, key: RequestKey, decisions: &mut Vec<LoadDecision>) {
-        let Some(record) = self.jobs.get(key) else {
+    /// Moves a request to its current allocator. A waiting request requests a slot there, and a
+    /// running one reports its slot there, so that the new allocator does not grant it again.
+    fn update_request_allocator(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        decisions: &mut Vec<LoadDecision>,
+    ) {
+        let Some(record) = self.requests.get(key) else {
             return;
         };
-        let service = record.job.service;
+        let service = record.request.service;
         match record.stage {
-            JobStage::Waiting { keeper, .. } => {
-                if self.keeper_for(&record.job) == Some(keeper) {
+            PolicyRequestStage::Waiting { allocator, .. } => {
+                if self.allocator_for(&record.request) == Some(allocator) {
                     return;
                 }
-                if let Some(record) = self.jobs.remove(key) {
-                    self.release_ask(now, keeper, &record, decisions);
-                    self.ask_for(now, record, decisions);
+                if let Some(record) = self.requests.remove(key) {
+                    self.release_slot_request(now, allocator, &record, decisions);
+                    self.request_slot_for(now, record, decisions);
                 }
             }
-            JobStage::Running {
+            PolicyRequestStage::Running {
                 upstream,
-                keeper: Some(keeper),
+                allocator: Some(allocator),
             } => {
                 let timer = record.timer;
-                let Some(successor) = self.successor_of(service, keeper, upstream) else {
+                let Some(new_allocator) = self.new_allocator_of(service, allocator, upstream)
+                else {
                     return;
                 };
-                let stage = JobStage::Running {
+                let stage = PolicyRequestStage::Running {
                     upstream,
-                    keeper: Some(successor),
+                    allocator: Some(new_allocator),
                 };
                 let message = hold_message(record, upstream);
-                self.jobs.advance(key, stage, timer);
-                self.send(now, successor, message, decisions);
+                self.requests.advance(key, stage, timer);
+                self.send(now, new_allocator, message, decisions);
             }
-            JobStage::Running { keeper: None, .. } => {}
+            PolicyRequestStage::Running {
+                allocator: None, ..
+            } => {}
         }
     }
 
-    /// The keeper that has taken over an upstream from one that keeps nothing any more.
-    fn successor_of(
+    /// Returns the allocator that has taken over an upstream from a host that allocates nothing any
+    /// more.
+    fn new_allocator_of(
         &self,
         service: ServiceId,
-        keeper: HostId,
+        allocator: HostId,
         upstream: UpstreamId,
     ) -> Option<HostId> {
-        let homes = self.homes.get(&service)?;
-        if homes.is_keeper(keeper) {
+        let allocator_map = self.allocator_maps.get(&service)?;
+        if allocator_map.is_allocator(allocator) {
             return None;
         }
-        homes.keeper_of(upstream, self.config.upstreams.get(&upstream)?)
+        allocator_map.allocator_of(upstream, self.config.upstreams.get(&upstream)?)
     }
 
-    fn run_timer(&mut self, now: Instant, record: &JobRecord, decisions: &mut Vec<LoadDecision>) {
-        let key = record.job.key;
+    fn handle_timer(
+        &mut self,
+        now: Instant,
+        record: &PolicyRequest,
+        decisions: &mut Vec<LoadDecision>,
+    ) {
+        let key = record.request.key;
         match record.stage {
-            JobStage::Waiting { keeper, unanswered } if unanswered + 1 < MOST_UNANSWERED => {
-                let stage = JobStage::Waiting {
-                    keeper,
+            PolicyRequestStage::Waiting {
+                allocator,
+                unanswered,
+            } if unanswered + 1 < MAX_UNANSWERED => {
+                let stage = PolicyRequestStage::Waiting {
+                    allocator,
                     unanswered: unanswered + 1,
                 };
                 let timer = now + self.settings.ask_timeout;
-                self.jobs.advance(key, stage, timer);
-                self.send(now, keeper, ask_message(now, record), decisions);
-                self.tell_replies(now, decisions);
+                self.requests.advance(key, stage, timer);
+                self.send(now, allocator, slot_request_message(now, record), decisions);
+                self.send_replies(now, decisions);
             }
-            JobStage::Waiting { keeper, .. } => {
-                self.send_direct(now, keeper, record, decisions);
+            PolicyRequestStage::Waiting { allocator, .. } => {
+                self.send_after_timeout(now, allocator, record, decisions);
             }
-            JobStage::Running { upstream, keeper } => {
+            PolicyRequestStage::Running {
+                upstream,
+                allocator,
+            } => {
                 let timer = now + self.settings.grant_length / 2;
-                self.jobs.advance(key, record.stage, timer);
-                if let Some(keeper) = keeper {
-                    self.send(now, keeper, hold_message(record, upstream), decisions);
+                self.requests.advance(key, record.stage, timer);
+                if let Some(allocator) = allocator {
+                    self.send(now, allocator, hold_message(record, upstream), decisions);
                 }
             }
         }
     }
 
-    /// Sends a job to its flow's upstream, whose slots nobody gives away.
+    /// Sends a request to its flow's upstream, whose slots nobody allocates.
     pub(crate) fn send_without_grant(
         &mut self,
         now: Instant,
-        mut record: JobRecord,
+        mut record: PolicyRequest,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        let Some(upstream) = record.job.pinned else {
+        let Some(upstream) = record.request.pinned else {
             return;
         };
-        record.stage = JobStage::Running {
+        record.stage = PolicyRequestStage::Running {
             upstream,
-            keeper: None,
+            allocator: None,
         };
         record.timer = now + self.settings.grant_length;
-        let key = record.job.key;
-        self.jobs.insert(record);
-        *self.direct.entry(upstream).or_default() += 1;
+        let key = record.request.key;
+        self.requests.insert(record);
+        *self.ungranted.entry(upstream).or_default() += 1;
         decisions.push(LoadDecision::Send { key, upstream });
     }
 
-    /// Sends a job without a grant, because its keeper does not answer.
-    fn send_direct(
+    /// Sends a request without a grant, because its allocator does not reply.
+    fn send_after_timeout(
         &mut self,
         now: Instant,
-        keeper: HostId,
-        record: &JobRecord,
+        allocator: HostId,
+        record: &PolicyRequest,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        let key = record.job.key;
-        self.release_ask(now, keeper, record, decisions);
-        let Some(upstream) = self.choose_direct(record) else {
-            if let Some(record) = self.jobs.remove(key) {
-                self.ask_for(now, record, decisions);
+        let key = record.request.key;
+        self.release_slot_request(now, allocator, record, decisions);
+        let Some(upstream) = self.choose_without_grant(record) else {
+            if let Some(record) = self.requests.remove(key) {
+                self.request_slot_for(now, record, decisions);
             }
             return;
         };
-        let stage = JobStage::Running {
+        let stage = PolicyRequestStage::Running {
             upstream,
-            keeper: None,
+            allocator: None,
         };
         let timer = now + self.settings.grant_length;
-        self.jobs.advance(key, stage, timer);
-        *self.direct.entry(upstream).or_default() += 1;
+        self.requests.advance(key, stage, timer);
+        *self.ungranted.entry(upstream).or_default() += 1;
         decisions.push(LoadDecision::Send { key, upstream });
     }
 
-    fn choose_direct(&mut self, record: &JobRecord) -> Option<UpstreamId> {
-        if record.job.pinned.is_some() {
-            return record.job.pinned;
+    fn choose_without_grant(&mut self, record: &PolicyRequest) -> Option<UpstreamId> {
+        if record.request.pinned.is_some() {
+            return record.request.pinned;
         }
         let config = Arc::clone(&self.config);
-        let service = config.services.get(&record.job.service)?;
+        let service = config.services.get(&record.request.service)?;
         let candidates = &service.upstreams;
         let active: Vec<UpstreamId> = candidates
             .iter()
@@ -239,42 +269,46 @@
         }
         let one = active[self.random.random_range(0..active.len())];
         let two = active[self.random.random_range(0..active.len())];
-        let sent = |id: UpstreamId| self.direct.get(&id).copied().unwrap_or(0);
-        Some(if sent(two) < sent(one) { two } else { one })
+        let ungranted_count = |id: UpstreamId| self.ungranted.get(&id).copied().unwrap_or(0);
+        Some(if ungranted_count(two) < ungranted_count(one) {
+            two
+        } else {
+            one
+        })
     }
 
-    fn release_ask(
+    fn release_slot_request(
         &mut self,
         now: Instant,
-        keeper: HostId,
-        record: &JobRecord,
+        allocator: HostId,
+        record: &PolicyRequest,
         decisions: &mut Vec<LoadDecision>,
     ) {
         let message = LoadMessage {
-            service: record.job.service,
-            ask: record.ask,
-            body: LoadBody::Release(GrantEnd::Unused),
-            former: None,
+            service: record.request.service,
+            slot_request: record.slot_request,
+            body: LoadBody::Release(GrantOutcome::Unused),
+            previous_release: None,
         };
-        self.send(now, keeper, message, decisions);
+        self.send(now, allocator, message, decisions);
     }
 }
 
-fn hold_message(record: &JobRecord, upstream: UpstreamId) -> LoadMessage {
+fn hold_message(record: &PolicyRequest, upstream: UpstreamId) -> LoadMessage {
     LoadMessage {
-        service: record.job.service,
-        ask: record.ask,
+        service: record.request.service,
+        slot_request: record.slot_request,
         body: LoadBody::Hold { upstream },
-        former: None,
+        previous_release: None,
     }
 }
 
-/// Whether a service or one of its upstreams changed between two configurations.
-fn differs(service: &ServiceEntry, former: &ConfigSnapshot, config: &ConfigSnapshot) -> bool {
-    if former.services.get(&service.id) != Some(service) {
+/// Returns whether a service or one of its upstreams differs between two configurations.
+fn has_changed(service: &ServiceEntry, previous: &ConfigSnapshot, config: &ConfigSnapshot) -> bool {
+    if previous.services.get(&service.id) != Some(service) {
         return true;
     }
     let ids = service.upstreams.iter();
     ids.into_iter()
-        .any(|id| former.upstreams.get(id) != config.upstreams.get(id))
+        .any(|id| previous.upstreams.get(id) != config.upstreams.get(id))
 }
--- a/lib/src/slot_limit.rs
+++ b/lib/src/slot_limit.rs
@@ -1,97 +1,106 @@
-//! How many jobs an upstream really takes, learned from what it sheds.
+//! Concurrency limit of an upstream, learned from the requests that it sheds.
 //!
-//! Load pattern: an upstream whose published slots or load endpoint say more than it can take,
-//! because it is cold, shares its host, or lies. Without it every job above the true limit is sent,
-//! shed and sent again. A shed at `n` jobs proves a limit below `n`; one slot more is tried after
-//! a pause that doubles while the tries fail (additive increase, no decrease below one).
+//! An upstream may have less capacity than its published slots or its load endpoint state, because
+//! it is cold, shares its host or reports wrong values. Without a learned limit, every request
+//! above the true limit would be sent, shed and sent again. A shed with `n` other requests running
+//! sets the limit to `n`; a probe raises the limit by one after a pause, which doubles each time
+//! the limit is lowered again.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Longest pause between tries, as a multiple of the first: an upstream that mends is found out
-/// within this, and one that does not costs one shed in that time.
-const LONGEST_PAUSE: u32 = 64;
-/// Longest time that a shed can close an upstream with no other job of ours on it. The first closes
-/// it for as long as it says, each further one for twice as long: an upstream that sheds everything
-/// then costs one retry in this time, which the budget of retries bears.
-const LONGEST_CLOSING: Duration = Duration::from_secs(2);
-/// Doublings of a closing, at most.
-const MOST_DOUBLINGS: u32 = 8;
-/// Shortest such time, so that an upstream which says zero is not asked in a loop.
-const SHORTEST_CLOSING: Duration = Duration::from_millis(10);
+/// Maximum pause between probes, as a multiple of the first pause. A recovered upstream is detected
+/// within this time, and one that has not recovered costs one shed request in this time.
+const MAX_PAUSE_FACTOR: u32 = 64;
+/// Maximum time for which a shed closes an upstream that runs no other request of this allocator.
+/// The first shed closes it for the time that the shed states, and each further one for twice as
+/// long. An upstream that sheds everything then costs one retry in this time, which the retry
+/// budget allows.
+const MAX_CLOSE_TIME: Duration = Duration::from_secs(2);
+/// Maximum number of doublings of the close time.
+const MAX_DOUBLINGS: u32 = 8;
+/// Minimum close time, so that an upstream that states zero is not tried in a loop.
+const MIN_CLOSE_TIME: Duration = Duration::from_millis(10);
 
-/// The limit of one upstream.
+/// Concurrency limit of one upstream.
 #[derive(Clone, Debug)]
 pub struct SlotLimit {
-    /// What was published; the limit never exceeds it.
+    /// Published number of slots; the limit never exceeds it.
     published: u32,
-    /// What is believed. Invariant: at least 1, unless `published` is 0.
-    believed: u32,
-    /// When one more is tried, or, once all are believed again, when that counts as proved.
+    /// Learned limit. Invariant: at least 1, unless `published` is 0.
+    learned: u32,
+    /// Time of the next probe. At the published limit, time at which the pause is reset.
     probe_at: Option<Instant>,
-    /// Pause before the next try, as a multiple of the setting.
-    pause: u32,
-    /// Until when nothing is sent, because it shed while it had nothing of ours.
+    /// Pause before the next probe, as a multiple of the `limit_probe` setting.
+    pause_factor: u32,
+    /// Until when nothing is sent, because the upstream shed a request while it ran no other.
     closed_until: Option<Instant>,
-    /// Sheds in a row that closed it; each doubles the time.
-    closings: u32,
+    /// Number of consecutive sheds that closed the upstream; each doubles the close time.
+    consecutive_closes: u32,
 }
 
 impl SlotLimit {
-    /// Begins with the published number of slots.
+    /// Creates a limit that equals the published number of slots.
     pub fn new(published: u32) -> Self {
         Self {
             published,
-            believed: published,
+            learned: published,
             probe_at: None,
-            pause: 1,
+            pause_factor: 1,
             closed_until: None,
-            closings: 0,
+            consecutive_closes: 0,
         }
     }
 
-    /// Takes a newly published number of slots.
+    /// Sets the published number of slots. A changed number discards the learned limit.
     pub fn publish(&mut self, published: u32) {
         if published != self.published {
             *self = Self::new(published);
         }
     }
 
-    /// How many jobs may run now.
+    /// Returns how many requests may run now.
     pub fn allowed(&self) -> u32 {
         match self.closed_until {
             Some(_) => 0,
-            None => self.believed,
+            None => self.learned,
         }
     }
 
-    /// Whether time alone may change what is allowed.
-    pub fn is_unsettled(&self) -> bool {
+    /// Returns whether the limit changes with time alone.
+    pub fn is_time_dependent(&self) -> bool {
         self.probe_at.is_some() || self.closed_until.is_some()
     }
 
-    /// Learns that a job was shed while `others` jobs of ours ran there.
-    pub fn shed(&mut self, now: Instant, others: u32, retry_after: Duration, probe: Duration) {
+    /// Records that a request was shed while `others` requests of this allocator ran at the
+    /// upstream.
+    pub fn record_shed(
+        &mut self,
+        now: Instant,
+        others: u32,
+        retry_after: Duration,
+        probe: Duration,
+    ) {
         if others == 0 {
-            let first = retry_after.max(SHORTEST_CLOSING);
-            let closing = first * (1 << self.closings.min(MOST_DOUBLINGS));
-            self.closed_until = Some(now + closing.min(LONGEST_CLOSING));
-            self.closings += 1;
+            let first_close_time = retry_after.max(MIN_CLOSE_TIME);
+            let close_time = first_close_time * (1 << self.consecutive_closes.min(MAX_DOUBLINGS));
+            self.closed_until = Some(now + close_time.min(MAX_CLOSE_TIME));
+            self.consecutive_closes += 1;
         }
         let lowered = others.clamp(1, self.published.max(1));
-        if lowered < self.believed {
-            self.believed = lowered;
-            self.probe_at = Some(now + probe * self.pause);
-            self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        if lowered < self.learned {
+            self.learned = lowered;
+            self.probe_at = Some(now + probe * self.pause_factor);
+            self.pause_factor = (self.pause_factor * 2).min(MAX_PAUSE_FACTOR);
         }
     }
 
-    /// Learns of an answer: it does take jobs.
-    pub fn answered(&mut self) {
-        self.closings = 0;
+    /// Records a response, which shows that the upstream accepts requests.
+    pub fn record_response(&mut self) {
+        self.consecutive_closes = 0;
     }
 
-    /// Lets time pass.
+    /// Reopens a closed upstream and raises the limit when these are due.
     pub fn tick(&mut self, now: Instant, probe: Duration) {
         if self.closed_until.is_some_and(|until| until <= now) {
             self.closed_until = None;
@@ -99,12 +108,12 @@
         if self.probe_at.is_none_or(|at| now < at) {
             return;
         }
-        if self.believed >= self.published {
+        if self.learned >= self.published {
             self.probe_at = None;
-            self.pause = 1;
+            self.pause_factor = 1;
             return;
         }
-        self.believed += 1;
-        self.probe_at = Some(now + probe * self.pause);
+        self.learned += 1;
+        self.probe_at = Some(now + probe * self.pause_factor);
     }
 }
--- a/lib/src/slot_pool.rs
+++ b/lib/src/slot_pool.rs
@@ -1,8 +1,9 @@
-//! A keeper's decisions for one service: which ask gets which slot, which waits, which is denied.
+//! Slot allocator for one service: grants slots to slot requests, queues them or denies them.
 //!
-//! Load pattern: bursts and overload. Without a bounded, deadline-aware queue, callers wait for
-//! answers that come too late, and the work is done for nobody. An ask that cannot be served in
-//! time is denied when it arrives. The grounds of each figure stand in the modules composed here.
+//! The queue is bounded and aware of deadlines. Otherwise, during bursts and overload, callers
+//! would wait for responses that arrive after their deadline, and upstreams would do work that
+//! nobody uses. A slot request that cannot be served in time is denied when it arrives. The modules
+//! composed here give the reasons for their constants.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,130 +12,132 @@
 use std::time::Instant;
 
 use crate::caller_usage::CallerUsage;
-use crate::fair_queue::AskHolder;
 use crate::fair_queue::FairQueue;
-use crate::fair_queue::PoolAsk;
+use crate::fair_queue::PoolRequest;
+use crate::fair_queue::SlotRequestKey;
 use crate::ids::HostId;
 use crate::ids::UpstreamId;
 use crate::load_message::CallerTag;
-use crate::load_message::GrantEnd;
+use crate::load_message::GrantOutcome;
 use crate::load_settings::LoadSettings;
 use crate::result_code::ResultCode;
 use crate::service_estimate::ServiceEstimate;
 use crate::slot_table::PoolMember;
 use crate::slot_table::SlotTable;
 use crate::slot_table::TakenSlot;
-use crate::spill_desk::SlotLender;
-use crate::spill_desk::SpillDesk;
+use crate::spill_requests::SpillKey;
+use crate::spill_requests::SpillRequests;
 
-/// How often grants that ran out and callers long gone are looked for.
-const SWEEP_PAUSE: Duration = Duration::from_millis(100);
-/// What a pool tells a host.
+/// Interval between sweeps for expired grants and idle callers.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Message from a pool to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PoolReply {
     /// A slot is granted.
     Grant {
-        /// For this ask.
-        holder: AskHolder,
-        /// The slot's upstream.
+        /// Slot request that is granted.
+        request_key: SlotRequestKey,
+        /// Upstream that the slot belongs to.
         upstream: UpstreamId,
     },
-    /// The ask waits.
+    /// The slot request waits in the queue.
     Queued {
-        /// The ask.
-        holder: AskHolder,
+        /// Slot request that waits.
+        request_key: SlotRequestKey,
     },
-    /// The ask is denied.
+    /// The slot request is denied.
     Deny {
-        /// The ask.
-        holder: AskHolder,
-        /// Why.
+        /// Slot request that is denied.
+        request_key: SlotRequestKey,
+        /// Reason.
         code: ResultCode,
-        /// How long the queue is.
+        /// Estimated wait in the queue.
         wait: Duration,
     },
-    /// Another keeper is asked for a slot, on behalf of the ask that waits longest.
+    /// Requests a slot from another allocator on behalf of the slot request that has waited
+    /// longest.
     Spill {
-        /// The other keeper and the number of the ask.
-        lender: SlotLender,
-        /// The caller it is for.
+        /// The other allocator and the number of the spill request.
+        spill_key: SpillKey,
+        /// Caller that the slot is for.
         caller: CallerTag,
-        /// When the job arrived.
+        /// When the request arrived.
         since: Instant,
         /// When its caller stops waiting.
         deadline: Instant,
     },
-    /// A lent slot goes back, or a spilled ask is taken back.
+    /// Releases a borrowed slot or withdraws a spill request.
     Return {
-        /// The other keeper and the number of the ask.
-        lender: SlotLender,
-        /// What became of the slot.
-        end: GrantEnd,
+        /// The other allocator and the number of the spill request.
+        spill_key: SpillKey,
+        /// How the slot was used.
+        outcome: GrantOutcome,
     },
-    /// A lent slot is still in use.
+    /// Renews the grant of a borrowed slot that is still in use.
     Renew {
-        /// The other keeper and the number of the ask.
-        lender: SlotLender,
-        /// The slot's upstream.
+        /// The other allocator and the number of the spill request.
+        spill_key: SpillKey,
+        /// Upstream that the slot belongs to.
         upstream: UpstreamId,
     },
 }
 
-/// Whose slot a grant gives.
+/// Origin of a granted slot: this pool's own or lent by another allocator.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum GrantSource {
     Own(TakenSlot),
-    Lent(SlotLender),
+    Lent(SpillKey),
 }
 
 #[derive(Clone, Debug)]
 struct SlotGrant {
     upstream: UpstreamId,
     source: GrantSource,
-    /// Whom it serves, unless a former keeper granted it.
+    /// Caller that the slot serves; `None` if a previous allocator granted the slot.
     caller: Option<CallerTag>,
     since: Instant,
-    /// When the slot is taken back unless the holder says that it still uses it.
-    run_out: Instant,
+    /// When the slot is reclaimed unless its holder renews the grant.
+    expires_at: Instant,
 }
 
-/// The pool of one service at one keeper.
+/// Slots of one service at one allocator, with the slot requests that wait for them.
 pub struct SlotPool {
     pub(crate) settings: Arc<LoadSettings>,
     pub(crate) table: SlotTable,
     pub(crate) queue: FairQueue,
-    /// Asks of other keepers.
-    spilled: FairQueue,
-    /// Asks for one upstream each; no entry is empty.
+    /// Slot requests of other allocators.
+    spill_queue: FairQueue,
+    /// Slot requests for one particular upstream, by upstream. Invariant: no queue is empty.
     pub(crate) pinned: BTreeMap<UpstreamId, FairQueue>,
-    grants: BTreeMap<AskHolder, SlotGrant>,
-    /// Slots of lost jobs, which may still run, with the time from which they count as free.
+    grants: BTreeMap<SlotRequestKey, SlotGrant>,
+    /// Slots of lost requests, which may still run, with the time at which each slot counts as
+    /// free.
     lost: VecDeque<(Instant, TakenSlot)>,
     pub(crate) estimate: ServiceEstimate,
     pub(crate) usage: CallerUsage,
-    pub(crate) spills: SpillDesk,
+    pub(crate) spill_requests: SpillRequests,
     next_sweep: Option<Instant>,
 }
 
 impl SlotPool {
-    /// A pool without upstreams.
+    /// Creates a pool without upstreams.
     pub fn new(settings: Arc<LoadSettings>) -> Self {
         Self {
             table: SlotTable::new(Arc::clone(&settings)),
             queue: FairQueue::default(),
-            spilled: FairQueue::default(),
+            spill_queue: FairQueue::default(),
             pinned: BTreeMap::new(),
             grants: BTreeMap::new(),
             lost: VecDeque::new(),
             estimate: ServiceEstimate::new(settings.first_service_time),
             usage: CallerUsage::default(),
-            spills: SpillDesk::default(),
+            spill_requests: SpillRequests::default(),
             next_sweep: None,
             settings,
         }
     }
 
-    /// Replaces the upstreams and the keepers that may be asked for slots.
+    /// Replaces the upstreams and the allocators that slots may be borrowed from.
     pub fn configure<'a>(
         &mut self,
         now: Instant,
@@ -142,94 +145,110 @@
         peers: Vec<HostId>,
     ) {
         self.table.configure(now, members);
-        self.spills.configure(peers);
+        self.spill_requests.configure(peers);
     }
 
-    /// Whether the pool keeps no slots.
+    /// Returns whether the pool has no upstreams.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// How many asks wait.
+    /// Returns the number of slot requests that wait.
     pub fn queued(&self) -> usize {
         self.queue.len()
-            + self.spilled.len()
+            + self.spill_queue.len()
             + self.pinned.values().map(FairQueue::len).sum::<usize>()
     }
 
-    /// How many grants are in use.
+    /// Returns the number of grants in use.
     pub fn granted(&self) -> usize {
         self.grants.len()
     }
 
-    /// Learns what an upstream's health endpoint said.
-    pub fn report(&mut self, now: Instant, upstream: UpstreamId, healthy: bool) {
-        self.table.report(now, upstream, healthy);
+    /// Records the result of an upstream's health endpoint.
+    pub fn report_health(&mut self, now: Instant, upstream: UpstreamId, healthy: bool) {
+        self.table.report_health(now, upstream, healthy);
     }
 
-    /// Takes an ask; one that is known is answered again, for the first answer may be lost.
-    pub fn ask(&mut self, now: Instant, ask: PoolAsk, replies: &mut Vec<PoolReply>) {
-        let holder = ask.holder;
-        if let Some(grant) = self.grants.get(&holder) {
+    /// Grants, queues or denies a slot request. A known slot request gets its reply again, because
+    /// the first reply may have been lost.
+    pub fn request_slot(
+        &mut self,
+        now: Instant,
+        request: PoolRequest,
+        replies: &mut Vec<PoolReply>,
+    ) {
+        let request_key = request.request_key;
+        if let Some(grant) = self.grants.get(&request_key) {
             let upstream = grant.upstream;
-            replies.push(PoolReply::Grant { holder, upstream });
+            replies.push(PoolReply::Grant {
+                request_key,
+                upstream,
+            });
             return;
         }
-        if self.is_queued(&ask) {
-            replies.push(PoolReply::Queued { holder });
+        if self.is_queued(&request) {
+            replies.push(PoolReply::Queued { request_key });
             return;
         }
-        if let Some(upstream) = self.free_slot(&ask) {
-            return self.grant_own(now, &ask, upstream, replies);
+        if let Some(upstream) = self.free_slot(&request) {
+            return self.grant_local(now, &request, upstream, replies);
         }
-        if let Some((code, wait)) = self.refusal(now, &ask) {
-            replies.push(PoolReply::Deny { holder, code, wait });
+        if let Some((code, wait)) = self.rejection(now, &request) {
+            replies.push(PoolReply::Deny {
+                request_key,
+                code,
+                wait,
+            });
             return;
         }
-        match ask.upstream {
-            Some(upstream) => self.pinned.entry(upstream).or_default().push(ask),
-            None if ask.spill => self.spilled.push(ask),
-            None => self.queue.push(ask),
+        match request.upstream {
+            Some(upstream) => self.pinned.entry(upstream).or_default().push(request),
+            None if request.spill => self.spill_queue.push(request),
+            None => self.queue.push(request),
         }
-        replies.push(PoolReply::Queued { holder });
-        self.adjust_spills(now, replies);
+        replies.push(PoolReply::Queued { request_key });
+        self.adjust_spill_requests(now, replies);
     }
 
-    /// Takes back an ask or its grant.
+    /// Withdraws a slot request or ends its grant.
     pub fn release(
         &mut self,
         now: Instant,
-        holder: AskHolder,
-        end: GrantEnd,
+        request_key: SlotRequestKey,
+        outcome: GrantOutcome,
         replies: &mut Vec<PoolReply>,
     ) {
-        if let Some(grant) = self.grants.remove(&holder) {
-            self.end_grant(now, &grant, end, replies);
-            self.serve(now, replies);
+        if let Some(grant) = self.grants.remove(&request_key) {
+            self.end_grant(now, &grant, outcome, replies);
+            self.grant_free_slots(now, replies);
             return;
         }
-        self.queue.remove(holder);
-        self.spilled.remove(holder);
+        self.queue.remove(request_key);
+        self.spill_queue.remove(request_key);
         self.pinned.retain(|_upstream, queue| {
-            queue.remove(holder);
+            queue.remove(request_key);
             !queue.is_empty()
         });
-        self.adjust_spills(now, replies);
+        self.adjust_spill_requests(now, replies);
     }
 
-    /// Learns that a slot is in use, whether this pool granted it or a keeper before it.
+    /// Records that a slot is in use, whether this pool or a previous allocator granted it.
     pub fn hold(
         &mut self,
         now: Instant,
-        holder: AskHolder,
+        request_key: SlotRequestKey,
         upstream: UpstreamId,
         replies: &mut Vec<PoolReply>,
     ) {
-        let run_out = now + self.settings.grant_length;
-        if let Some(grant) = self.grants.get_mut(&holder) {
-            grant.run_out = run_out;
-            if let GrantSource::Lent(lender) = grant.source {
-                replies.push(PoolReply::Renew { lender, upstream });
+        let expires_at = now + self.settings.grant_length;
+        if let Some(grant) = self.grants.get_mut(&request_key) {
+            grant.expires_at = expires_at;
+            if let GrantSource::Lent(spill_key) = grant.source {
+                replies.push(PoolReply::Renew {
+                    spill_key,
+                    upstream,
+                });
             }
             return;
         }
@@ -242,116 +261,124 @@
             source: GrantSource::Own(slot),
             caller: None,
             since: now,
-            run_out,
+            expires_at,
         };
-        self.grants.insert(holder, grant);
+        self.grants.insert(request_key, grant);
     }
 
-    /// Lets time pass.
+    /// Expires grants, denies late slot requests and grants free slots; called at each tick.
     pub fn tick(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
         self.table.tick(now);
-        self.free_lost(now);
-        self.drop_hopeless(now, replies);
+        self.free_lost_slots(now);
+        self.deny_late(now, replies);
         if self.next_sweep.is_none_or(|at| at <= now) {
-            self.next_sweep = Some(now + SWEEP_PAUSE);
+            self.next_sweep = Some(now + SWEEP_INTERVAL);
             self.sweep(now, replies);
         }
-        for lender in self.spills.tick(now) {
-            let end = GrantEnd::Unused;
-            replies.push(PoolReply::Return { lender, end });
+        for spill_key in self.spill_requests.tick(now) {
+            let outcome = GrantOutcome::Unused;
+            replies.push(PoolReply::Return { spill_key, outcome });
         }
-        self.serve(now, replies);
+        self.grant_free_slots(now, replies);
     }
 
-    fn is_queued(&self, ask: &PoolAsk) -> bool {
-        match ask.upstream {
+    fn is_queued(&self, request: &PoolRequest) -> bool {
+        match request.upstream {
             Some(upstream) => {
                 let queue = self.pinned.get(&upstream);
-                queue.is_some_and(|queue| queue.contains(ask.holder))
+                queue.is_some_and(|queue| queue.contains(request.request_key))
+            }
+            None => {
+                self.queue.contains(request.request_key)
+                    || self.spill_queue.contains(request.request_key)
             }
-            None => self.queue.contains(ask.holder) || self.spilled.contains(ask.holder),
         }
     }
 
-    /// A slot that the ask may have before all that wait.
-    fn free_slot(&self, ask: &PoolAsk) -> Option<UpstreamId> {
-        match ask.upstream {
+    /// Returns a free slot that the slot request may take ahead of the queue.
+    fn free_slot(&self, request: &PoolRequest) -> Option<UpstreamId> {
+        match request.upstream {
             Some(upstream) => {
                 let is_first = !self.pinned.contains_key(&upstream);
-                (is_first && self.table.has_room(upstream)).then_some(upstream)
+                (is_first && self.table.has_free_slot(upstream)).then_some(upstream)
             }
             None if !self.queue.is_empty() => None,
-            None => self.table.best(),
+            None => self.table.least_used(),
         }
     }
 
-    /// Gives free slots to those that wait.
-    fn serve(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
-        self.serve_pinned(now, replies);
-        while let Some(upstream) = self.table.best() {
-            let Some(ask) = self.next_ask(now) else {
+    /// Grants free slots to waiting slot requests.
+    fn grant_free_slots(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
+        self.grant_pinned_slots(now, replies);
+        while let Some(upstream) = self.table.least_used() {
+            let Some(request) = self.next_request(now) else {
                 break;
             };
-            self.grant_own(now, &ask, upstream, replies);
+            self.grant_local(now, &request, upstream, replies);
         }
-        self.adjust_spills(now, replies);
+        self.adjust_spill_requests(now, replies);
     }
 
-    /// The ask to be served next: the own zone's oldest, and other keepers' when none waits.
-    fn next_ask(&mut self, now: Instant) -> Option<PoolAsk> {
-        self.pop_own(now).or_else(|| self.spilled.pop())
+    /// Takes the next slot request: the oldest of the own zone, or of other allocators if none
+    /// waits.
+    fn next_request(&mut self, now: Instant) -> Option<PoolRequest> {
+        self.pop_local(now).or_else(|| self.spill_queue.pop())
     }
 
-    /// The own zone's oldest ask; its wait tells whether the queue stands.
-    pub(crate) fn pop_own(&mut self, now: Instant) -> Option<PoolAsk> {
-        let target = self.target(self.table.open_slots());
+    /// Takes the oldest slot request of the own zone and records its wait for the detection of a
+    /// standing queue.
+    pub(crate) fn pop_local(&mut self, now: Instant) -> Option<PoolRequest> {
+        let target = self.wait_target(self.table.open_slots());
         let interval = self.settings.queue_interval;
-        let ask = self.queue.pop();
-        let wait = waited(now, ask.as_ref());
+        let request = self.queue.pop();
+        let wait = wait_time(now, request.as_ref());
         let standing = self.queue.standing_mut();
-        standing.waited(now, wait, target, interval);
-        ask
+        standing.record_wait(now, wait, target, interval);
+        request
     }
 
-    /// Gives upstreams' free slots to asks for just those that have waited longer than any other.
-    fn serve_pinned(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
+    /// Grants slots to pinned slot requests that have waited longer than any unpinned one.
+    fn grant_pinned_slots(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
         let upstreams: Vec<UpstreamId> = self.pinned.keys().copied().collect();
         for upstream in upstreams {
-            while self.table.has_room(upstream) {
-                let Some(ask) = self.pop_pinned(now, upstream) else {
+            while self.table.has_free_slot(upstream) {
+                let Some(request) = self.pop_pinned(now, upstream) else {
                     break;
                 };
-                self.grant_own(now, &ask, upstream, replies);
+                self.grant_local(now, &request, upstream, replies);
             }
         }
     }
 
-    fn pop_pinned(&mut self, now: Instant, upstream: UpstreamId) -> Option<PoolAsk> {
-        let target = self.target(self.table.open_of(upstream));
+    fn pop_pinned(&mut self, now: Instant, upstream: UpstreamId) -> Option<PoolRequest> {
+        let target = self.wait_target(self.table.open_slots_of(upstream));
         let queue = self.pinned.get_mut(&upstream)?;
         let since = queue.first()?.since;
         let others = self.queue.first();
-        if others.is_some_and(|other| other.since < since) && self.table.open_of(upstream) > 0 {
-            // An older ask for any slot takes this one, unless another slot is free for it.
-            let is_only = self.table.best() == Some(upstream);
+        if others.is_some_and(|other| other.since < since) && self.table.open_slots_of(upstream) > 0
+        {
+            // An older unpinned slot request takes this slot unless another slot is free for it.
+            let is_only = self.table.least_used() == Some(upstream);
             if is_only {
                 return None;
             }
         }
-        let ask = queue.pop();
-        let wait = waited(now, ask.as_ref());
+        let request = queue.pop();
+        let wait = wait_time(now, request.as_ref());
         let interval = self.settings.queue_interval;
-        queue.standing_mut().waited(now, wait, target, interval);
+        queue
+            .standing_mut()
+            .record_wait(now, wait, target, interval);
         if queue.is_empty() {
             self.pinned.remove(&upstream);
         }
-        ask
+        request
     }
 
-    fn grant_own(
+    fn grant_local(
         &mut self,
         now: Instant,
-        ask: &PoolAsk,
+        request: &PoolRequest,
         upstream: UpstreamId,
         replies: &mut Vec<PoolReply>,
     ) {
@@ -359,13 +386,13 @@
         let Some(slot) = self.table.take(now, upstream, expected) else {
             return;
         };
-        self.grant(now, ask, upstream, GrantSource::Own(slot), replies);
+        self.grant(now, request, upstream, GrantSource::Own(slot), replies);
     }
 
     pub(crate) fn grant(
         &mut self,
         now: Instant,
-        ask: &PoolAsk,
+        request: &PoolRequest,
         upstream: UpstreamId,
         source: GrantSource,
         replies: &mut Vec<PoolReply>,
@@ -373,21 +400,25 @@
         let grant = SlotGrant {
             upstream,
             source,
-            caller: Some(ask.caller),
+            caller: Some(request.caller),
             since: now,
-            run_out: now + self.settings.grant_length,
+            expires_at: now + self.settings.grant_length,
         };
-        let holder = ask.holder;
-        self.grants.insert(holder, grant);
-        replies.push(PoolReply::Grant { holder, upstream });
+        let request_key = request.request_key;
+        self.grants.insert(request_key, grant);
+        replies.push(PoolReply::Grant {
+            request_key,
+            upstream,
+        });
     }
 
-    /// Ends a grant. A lost job may still run, so its slot is given back only after a while.
+    /// Ends a grant. The slot of a lost request is freed only after a service time, because the
+    /// request may still run.
     fn end_grant(
         &mut self,
         now: Instant,
         grant: &SlotGrant,
-        end: GrantEnd,
+        outcome: GrantOutcome,
         replies: &mut Vec<PoolReply>,
     ) {
         let held = now.saturating_duration_since(grant.since);
@@ -395,33 +426,33 @@
             self.usage.learn(now, caller, held);
         }
         match grant.source {
-            GrantSource::Own(slot) if end == GrantEnd::Lost => {
+            GrantSource::Own(slot) if outcome == GrantOutcome::Lost => {
                 let free_at = now + self.estimate.service_time();
                 self.lost.push_back((free_at, slot));
             }
             GrantSource::Own(slot) => {
                 let average = self.estimate.service_time();
-                self.table.give_back(now, slot, end, average);
-                if end == GrantEnd::Answered {
-                    self.estimate.learn(held);
+                self.table.give_back(now, slot, outcome, average);
+                if outcome == GrantOutcome::Answered {
+                    self.estimate.record(held);
                 }
             }
-            GrantSource::Lent(lender) => replies.push(PoolReply::Return { lender, end }),
+            GrantSource::Lent(spill_key) => replies.push(PoolReply::Return { spill_key, outcome }),
         }
     }
 
-    /// Denies asks whose job could not finish in time even if it were sent now.
-    fn drop_hopeless(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
+    /// Denies slot requests that would miss their deadline even if they were sent now.
+    fn deny_late(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
         let latest = now + self.estimate.service_time();
-        let mut holders = self.queue.hopeless(latest);
-        holders.extend(self.spilled.hopeless(latest));
+        let mut request_keys = self.queue.late_requests(latest);
+        request_keys.extend(self.spill_queue.late_requests(latest));
         for queue in self.pinned.values() {
-            holders.extend(queue.hopeless(latest));
+            request_keys.extend(queue.late_requests(latest));
         }
-        for holder in holders {
-            self.release(now, holder, GrantEnd::Unused, replies);
+        for request_key in request_keys {
+            self.release(now, request_key, GrantOutcome::Unused, replies);
             replies.push(PoolReply::Deny {
-                holder,
+                request_key,
                 code: ResultCode::DeadlineTooShort,
                 wait: self
                     .estimate
@@ -430,37 +461,39 @@
         }
     }
 
-    /// Frees the slots of lost jobs. An upstream runs on after the caller has given up, and a slot
-    /// given away before it is free is shed, and each shed lowers a limit.
-    fn free_lost(&mut self, now: Instant) {
+    /// Frees the slots of lost requests. An upstream continues after the caller has given up; a
+    /// request sent to a slot before it is free would be shed, and each shed lowers the upstream's
+    /// limit.
+    fn free_lost_slots(&mut self, now: Instant) {
         while let Some((free_at, slot)) = self.lost.front().copied() {
             if now < free_at {
                 break;
             }
             self.lost.pop_front();
             let average = self.estimate.service_time();
-            self.table.give_back(now, slot, GrantEnd::Lost, average);
+            self.table.give_back(now, slot, GrantOutcome::Lost, average);
         }
     }
 
-    /// Takes back slots whose holder has fallen silent: it died, or its release was lost.
+    /// Reclaims slots whose grant was not renewed: the holder died, or its release was lost.
     fn sweep(&mut self, now: Instant, replies: &mut Vec<PoolReply>) {
-        let silent = self
+        let expired = self
             .grants
             .iter()
-            .filter(|(_holder, grant)| grant.run_out <= now);
-        let holders: Vec<AskHolder> = silent.map(|(holder, _grant)| *holder).collect();
-        for holder in holders {
-            if let Some(grant) = self.grants.remove(&holder) {
-                self.end_grant(now, &grant, GrantEnd::Cancelled, replies);
+            .filter(|(_holder, grant)| grant.expires_at <= now);
+        let request_keys: Vec<SlotRequestKey> =
+            expired.map(|(request_key, _grant)| *request_key).collect();
+        for request_key in request_keys {
+            if let Some(grant) = self.grants.remove(&request_key) {
+                self.end_grant(now, &grant, GrantOutcome::Cancelled, replies);
             }
         }
         self.usage.sweep(now);
     }
 }
 
-fn waited(now: Instant, ask: Option<&PoolAsk>) -> Duration {
-    ask.map_or(Duration::ZERO, |ask| {
-        now.saturating_duration_since(ask.since)
+fn wait_time(now: Instant, request: Option<&PoolRequest>) -> Duration {
+    request.map_or(Duration::ZERO, |request| {
+        now.saturating_duration_since(request.since)
     })
 }
