--- a/lib/src/slot_table.rs
+++ b/lib/src/slot_table.rs
@@ -1,10 +1,9 @@
-//! The slots that one host keeps for one service, and the choice among them.
+//! Slots of the upstreams that one host allocates for a service, and the choice among them.
 //!
-//! Load pattern: equal upstreams, of which some are used more than others by chance; callers meet
-//! the busy ones. Without evening out, a free slot chosen at random leaves the busiest upstream of
-//! 14 several percent above the mean. The choice takes the free slot whose upstream was in use
-//! least of late. Old use is forgotten by letting the weight of new use grow exponentially
-//! (forward decay: Cormode and others, 2009), so that no key changes while nothing happens.
+//! The free slot of the upstream with the lowest recent usage is chosen. A free slot chosen at
+//! random would leave the busiest of 14 equal upstreams several percent above the mean. Past usage
+//! decays by exponential growth of the weight of new usage (forward decay: Cormode and others,
+//! 2009), so that no key changes while nothing happens.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -12,77 +11,78 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::choice_tree::ChoiceTree;
 use crate::config_snapshot::UpstreamEntry;
 use crate::ids::UpstreamId;
-use crate::load_message::GrantEnd;
+use crate::load_message::GrantOutcome;
 use crate::load_settings::LoadSettings;
 use crate::pool_upstream::PoolUpstream;
+use crate::tournament_tree::TournamentTree;
 use crate::warm_ramp::WarmRamp;
 
-/// Added to the key of an upstream that is used only when others are full; above any usage,
-/// yet small enough that usage still tells apart those avoided.
-const AVOIDED_KEY: f64 = 1e12;
-/// Time constants after which weights are scaled back, far below the range of `f64`.
+/// Added to the key of an upstream that is used only when the others are full. Above any usage, yet
+/// small enough that the usage still orders the avoided upstreams in `f64`.
+const AVOIDED_PENALTY: f64 = 1e12;
+/// Number of time constants after which weights are scaled back, far below the range of `f64`.
 const REBASE_AFTER: f64 = 20.0;
 
-/// The upstreams whose slots this host gives away.
+/// Upstreams whose slots this host allocates.
 pub struct SlotTable {
     settings: Arc<LoadSettings>,
     upstreams: Vec<PoolUpstream>,
     index: HashMap<UpstreamId, usize>,
-    tree: ChoiceTree,
-    /// Upstreams that time alone may change.
-    unsettled: BTreeSet<usize>,
-    /// Sum of `open` over the upstreams that take new work.
+    tree: TournamentTree,
+    /// Indices of upstreams whose state changes with time alone.
+    time_dependent: BTreeSet<usize>,
+    /// Sum of `shared` over all upstreams.
     open_slots: u32,
-    /// When the weight of use is 1.
+    /// When the weight of usage is 1.
     weight_origin: Option<Instant>,
     last_tick: Option<Instant>,
-    /// Whether cold upstreams are spared: not when most are cold.
-    spare_cold: bool,
+    /// Whether the slots of cold upstreams are limited; false when most upstreams are cold.
+    limits_cold: bool,
 }
 
-/// An upstream that the table is to hold.
+/// Upstream that the table should contain.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolMember<'a> {
-    /// Its entry in the configuration in force.
+    /// Entry in the configuration in force.
     pub entry: &'a UpstreamEntry,
-    /// Whether it was not published before; one that only changed its keeper is not cold.
+    /// Whether the upstream was absent from the previous configuration. An upstream that only
+    /// changed its allocator is not cold.
     pub is_new: bool,
 }
 
-/// A slot that was taken.
+/// Slot in use.
 #[derive(Clone, Copy, Debug)]
 pub struct TakenSlot {
-    /// Its upstream.
+    /// Upstream that the slot belongs to.
     pub upstream: UpstreamId,
-    /// When it was taken.
+    /// When the slot was taken.
     pub since: Instant,
-    /// Use that was charged beforehand.
+    /// Usage charged in advance, in seconds.
     charged: f64,
 }
 
 impl SlotTable {
-    /// A table without upstreams.
+    /// Creates a table without upstreams.
     pub fn new(settings: Arc<LoadSettings>) -> Self {
         Self {
             settings,
             upstreams: Vec::new(),
             index: HashMap::new(),
-            tree: ChoiceTree::default(),
-            unsettled: BTreeSet::new(),
+            tree: TournamentTree::default(),
+            time_dependent: BTreeSet::new(),
             open_slots: 0,
             weight_origin: None,
             last_tick: None,
-            spare_cold: true,
+            limits_cold: true,
         }
     }
 
-    /// Replaces the upstreams. Those that stay keep what is known of them.
+    /// Replaces the upstreams. Those that remain keep their recorded state.
     pub fn configure<'a>(&mut self, now: Instant, members: impl Iterator<Item = PoolMember<'a>>) {
         self.weight_origin.get_or_insert(now);
-        let least_used = self.least_usage();
+        let min_usage = self.min_usage();
         let mut known: HashMap<UpstreamId, PoolUpstream> = std::mem::take(&mut self.upstreams)
             .into_iter()
             .map(|upstream| (upstream.id, upstream))
@@ -93,21 +93,21 @@
                     upstream.publish(now, member.entry);
                     upstream
                 }
-                None => newcomer(now, member, least_used),
+                None => new_upstream(now, member, min_usage),
             };
             self.upstreams.push(upstream);
         }
         self.rebuild(now);
     }
 
-    /// The upstream whose free slot should be used next.
-    pub fn best(&self) -> Option<UpstreamId> {
+    /// Returns the upstream with a free slot that has the lowest recent usage.
+    pub fn least_used(&self) -> Option<UpstreamId> {
         let index = self.tree.best()?;
         Some(self.upstreams[index].id)
     }
 
-    /// Whether an upstream has a free slot.
-    pub fn has_room(&self, id: UpstreamId) -> bool {
+    /// Returns whether an upstream has a free slot.
+    pub fn has_free_slot(&self, id: UpstreamId) -> bool {
         let Some(index) = self.index.get(&id) else {
             return false;
         };
@@ -115,28 +115,29 @@
         upstream.busy < upstream.open
     }
 
-    /// Whether an upstream is in the table.
-    pub fn holds(&self, id: UpstreamId) -> bool {
+    /// Returns whether an upstream is in the table.
+    pub fn contains(&self, id: UpstreamId) -> bool {
         self.index.contains_key(&id)
     }
 
-    /// Slots of one upstream that may be in use.
-    pub fn open_of(&self, id: UpstreamId) -> u32 {
+    /// Returns the number of slots of an upstream that may be in use.
+    pub fn open_slots_of(&self, id: UpstreamId) -> u32 {
         let upstream = self.index.get(&id).map(|index| &self.upstreams[*index]);
         upstream.map_or(0, |upstream| upstream.open)
     }
 
-    /// Slots of all upstreams that may be in use.
+    /// Returns the number of slots of all active upstreams that may be in use.
     pub fn open_slots(&self) -> u32 {
         self.open_slots
     }
 
-    /// Whether the table has no upstreams.
+    /// Returns whether the table has no upstreams.
     pub fn is_empty(&self) -> bool {
         self.upstreams.is_empty()
     }
 
-    /// Takes a slot, to be held for about `expected`.
+    /// Takes a slot that is expected to be held for `expected`. Returns `None` if the upstream is
+    /// not in the table.
     pub fn take(&mut self, now: Instant, id: UpstreamId, expected: Duration) -> Option<TakenSlot> {
         let index = *self.index.get(&id)?;
         let charged = expected.as_secs_f64();
@@ -152,8 +153,14 @@
         })
     }
 
-    /// Takes a slot back and learns from what became of it.
-    pub fn give_back(&mut self, now: Instant, slot: TakenSlot, end: GrantEnd, average: Duration) {
+    /// Returns a slot and records how it was used.
+    pub fn give_back(
+        &mut self,
+        now: Instant,
+        slot: TakenSlot,
+        outcome: GrantOutcome,
+        average: Duration,
+    ) {
         let Some(index) = self.index.get(&slot.upstream).copied() else {
             return;
         };
@@ -161,52 +168,55 @@
         let weight = self.weight(now);
         let upstream = &mut self.upstreams[index];
         upstream.busy = upstream.busy.saturating_sub(1);
-        let used = match end {
-            GrantEnd::Unused | GrantEnd::Shed { .. } => 0.0,
-            GrantEnd::Answered | GrantEnd::Lost | GrantEnd::Cancelled => held.as_secs_f64(),
+        let used = match outcome {
+            GrantOutcome::Unused | GrantOutcome::Shed { .. } => 0.0,
+            GrantOutcome::Answered | GrantOutcome::Lost | GrantOutcome::Cancelled => {
+                held.as_secs_f64()
+            }
         };
         upstream.usage += weight * (used - slot.charged) / f64::from(upstream.slots.max(1));
-        match end {
-            GrantEnd::Answered => upstream.answered(held, average),
-            GrantEnd::Shed { retry_after } => {
+        match outcome {
+            GrantOutcome::Answered => upstream.record_response(held, average),
+            GrantOutcome::Shed { retry_after } => {
                 let others = upstream.busy;
                 let probe = self.settings.limit_probe;
-                upstream.limit.shed(now, others, retry_after, probe);
+                upstream.limit.record_shed(now, others, retry_after, probe);
             }
-            GrantEnd::Lost => self.learn_loss(now, index),
-            GrantEnd::Unused | GrantEnd::Cancelled => {}
+            GrantOutcome::Lost => self.record_loss(now, index),
+            GrantOutcome::Unused | GrantOutcome::Cancelled => {}
         }
         self.refresh(now, index);
     }
 
-    /// Learns what an upstream's health endpoint said.
-    pub fn report(&mut self, now: Instant, id: UpstreamId, healthy: bool) {
+    /// Records the result of an upstream's health endpoint.
+    pub fn report_health(&mut self, now: Instant, id: UpstreamId, healthy: bool) {
         if let Some(index) = self.index.get(&id).copied() {
-            self.upstreams[index].report(healthy);
+            self.upstreams[index].report_health(healthy);
             self.refresh(now, index);
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time of all upstreams whose state depends on it.
     pub fn tick(&mut self, now: Instant) {
         let last = self.last_tick.replace(now).unwrap_or(now);
         let passed = now.saturating_duration_since(last);
         self.rebase(now);
-        let unsettled: Vec<usize> = self.unsettled.iter().copied().collect();
-        for index in &unsettled {
+        let time_dependent: Vec<usize> = self.time_dependent.iter().copied().collect();
+        for index in &time_dependent {
             self.upstreams[*index].tick(now, passed, &self.settings);
         }
-        if !unsettled.is_empty() {
-            self.spare_cold = self.most_are_warm();
+        if !time_dependent.is_empty() {
+            self.limits_cold = self.most_are_warm();
         }
-        for index in unsettled {
+        for index in time_dependent {
             self.refresh(now, index);
         }
     }
 
-    /// Ejects an upstream that lost too much, unless too many are out already: then the fault is
-    /// more likely on this side, and the rest could not carry the load.
-    fn learn_loss(&mut self, now: Instant, index: usize) {
+    /// Records a lost request and ejects the upstream after too many losses in a row, unless too
+    /// many upstreams are ejected already: in that case the fault is more likely at this host, and
+    /// the remaining upstreams could not carry the load.
+    fn record_loss(&mut self, now: Instant, index: usize) {
         let limit = self.settings.ejection_losses;
         if !self.upstreams[index].outlier.lost(limit) {
             return;
@@ -232,16 +242,16 @@
     }
 
     fn rebuild(&mut self, now: Instant) {
-        self.tree = ChoiceTree::new(self.upstreams.len());
+        self.tree = TournamentTree::new(self.upstreams.len());
         self.index = self
             .upstreams
             .iter()
             .enumerate()
             .map(|(index, upstream)| (upstream.id, index))
             .collect();
-        self.unsettled.clear();
+        self.time_dependent.clear();
         self.open_slots = 0;
-        self.spare_cold = self.most_are_warm();
+        self.limits_cold = self.most_are_warm();
         for index in 0..self.upstreams.len() {
             self.upstreams[index].open = 0;
             self.upstreams[index].shared = 0;
@@ -249,48 +259,49 @@
         }
     }
 
-    /// Brings the tree and the sums up to date with one upstream.
+    /// Updates the choice tree and the sums after a change of one upstream.
     fn refresh(&mut self, now: Instant, index: usize) {
         let upstream = &mut self.upstreams[index];
-        let open = upstream.compute_open(now, self.spare_cold, &self.settings);
-        // Only jobs of established flows use a draining upstream's slots, and they name it.
+        let open = upstream.compute_open(now, self.limits_cold, &self.settings);
+        // A draining upstream's slots serve only requests of established flows, which name the
+        // upstream.
         let shared = if upstream.is_active() { open } else { 0 };
         self.open_slots = self.open_slots - upstream.shared + shared;
         upstream.open = open;
         upstream.shared = shared;
         let key = match upstream.busy < shared {
-            true if upstream.is_avoided() => upstream.usage + AVOIDED_KEY,
+            true if upstream.is_avoided() => upstream.usage + AVOIDED_PENALTY,
             true => upstream.usage,
             false => f64::INFINITY,
         };
         self.tree.set(index, key);
-        if upstream.is_unsettled() {
-            self.unsettled.insert(index);
+        if upstream.is_time_dependent() {
+            self.time_dependent.insert(index);
         } else {
-            self.unsettled.remove(&index);
+            self.time_dependent.remove(&index);
         }
     }
 
-    fn least_usage(&self) -> f64 {
+    fn min_usage(&self) -> f64 {
         let active = self.upstreams.iter().filter(|entry| entry.is_active());
-        let least = active
+        let min = active
             .map(|entry| entry.usage)
             .fold(f64::INFINITY, f64::min);
-        if least.is_finite() { least } else { 0.0 }
+        if min.is_finite() { min } else { 0.0 }
     }
 
     fn weight(&self, now: Instant) -> f64 {
-        self.time_constants(now).exp()
+        self.elapsed_time_constants(now).exp()
     }
 
-    fn time_constants(&self, now: Instant) -> f64 {
+    fn elapsed_time_constants(&self, now: Instant) -> f64 {
         let origin = self.weight_origin.unwrap_or(now);
         let passed = now.saturating_duration_since(origin).as_secs_f64();
         passed / self.settings.balance_length.as_secs_f64().max(0.001)
     }
 
     fn rebase(&mut self, now: Instant) {
-        if self.time_constants(now) < REBASE_AFTER {
+        if self.elapsed_time_constants(now) < REBASE_AFTER {
             return;
         }
         let weight = self.weight(now);
@@ -304,7 +315,7 @@
     }
 }
 
-fn newcomer(now: Instant, member: PoolMember<'_>, usage: f64) -> PoolUpstream {
+fn new_upstream(now: Instant, member: PoolMember<'_>, usage: f64) -> PoolUpstream {
     let ramp = if member.is_new {
         WarmRamp::begin(now)
     } else {
--- a/lib/src/standing_queue.rs
+++ b/lib/src/standing_queue.rs
@@ -1,31 +1,37 @@
-//! Tells a queue that stands from one that comes and goes.
+//! Detects a standing queue, as opposed to a queue that forms and empties.
 //!
-//! Load pattern: more work arrives for seconds than the slots can do. Without a bound, the queue
-//! fills up to what deadlines allow and every accepted job waits almost its whole deadline, while
-//! a queue a tenth as long would keep the slots as busy. A burst, on the other hand, should be
-//! queued whole. So the bound comes into force once the queue has stood above a target for an
-//! interval (the idea of controlled delay: Nichols and Jacobson, 2012).
+//! When more work arrives for seconds than the slots can serve, a queue without a bound fills up to
+//! the deadlines, and every accepted request waits for almost its whole deadline, although a queue
+//! a tenth as long would keep the slots as busy. A burst, however, should be queued completely. The
+//! bound therefore applies once waits have exceeded a target for an interval (controlled delay:
+//! Nichols and Jacobson, 2012).
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Part of the target below which waits must stay for an interval to end the overload. Ending it
-/// at the first short wait lets the queue grow to the whole deadline again at once.
-const END_PART: u32 = 4;
+/// Divisor of the target: waits must stay below the quotient for an interval to end the overload.
+/// With an end at the first short wait, the queue would at once grow to the whole deadline again.
+const END_DIVISOR: u32 = 4;
 
-/// Whether one queue stands.
+/// Detector for one queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StandingQueue {
     is_standing: bool,
-    /// Since when waits have been such as to change that.
+    /// Since when waits indicate the opposite state.
     changing_since: Option<Instant>,
 }
 
 impl StandingQueue {
-    /// Learns how long a job had waited when it got a slot; zero if nothing waits.
-    pub fn waited(&mut self, now: Instant, wait: Duration, target: Duration, interval: Duration) {
+    /// Records the wait of a request that got a slot; zero if no request waits.
+    pub fn record_wait(
+        &mut self,
+        now: Instant,
+        wait: Duration,
+        target: Duration,
+        interval: Duration,
+    ) {
         let is_changing = match self.is_standing {
-            true => wait < target / END_PART,
+            true => wait < target / END_DIVISOR,
             false => wait >= target,
         };
         if !is_changing {
@@ -39,8 +45,8 @@
         }
     }
 
-    /// The longest wait to admit: any, or `target` while the queue stands.
-    pub fn longest_wait(&self, target: Duration) -> Duration {
+    /// Returns the maximum wait to admit: `target` while the queue stands, otherwise no bound.
+    pub fn max_wait(&self, target: Duration) -> Duration {
         match self.is_standing {
             true => target,
             false => Duration::MAX,
--- a/lib/src/takeover_system.rs
+++ b/lib/src/takeover_system.rs
@@ -1,8 +1,10 @@
-//! Decides whether this host may take a request on, which at most one host ever may.
+//! Decides whether this host may accept a request. At most one host ever accepts a non-idempotent
+//! request.
 //!
-//! A host that acts on a flow takes on what was first sent after it began to. Of an older request
-//! another host may hold a record: every peer is asked, and promises not to take it on, before this
-//! host does. When a peer cannot tell, the outcome is unknown, and the caller hears so at once.
+//! A host that has become the only one allowed to accept the requests of a flow accepts every
+//! request that was first sent after that time. Another host may hold a record of an older request.
+//! Before accepting such a request, this host queries every peer, and each promises not to accept
+//! it. If a peer cannot tell, the outcome is unknown and the caller is told so at once.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,13 +14,13 @@
 use crate::host_core::MAX_HOPS;
 use crate::ids::FlowDigest;
 use crate::ids::HostId;
-use crate::membership::CLAIM_MARGIN;
+use crate::membership::CLOCK_DRIFT_MARGIN;
 use crate::owner_rank::ranked_ahead;
 use crate::record_query::RecordQuery;
 use crate::record_query::RecordReply;
 use crate::record_query::RecordState;
-use crate::request_system::LONGEST_DEADLINE;
-use crate::request_table::RECORD_MEMORY;
+use crate::request_system::MAX_REQUEST_TIMEOUT;
+use crate::request_table::MIN_RECORD_LIFETIME;
 use crate::request_table::RequestKey;
 use crate::request_table::RequestRecord;
 use crate::request_table::RequestStage;
@@ -30,30 +32,31 @@
 use crate::wire_frame::RefusalBody;
 use crate::wire_frame::RunOutcome;
 
-/// Time between two looks at a request that waits for a decision.
-const DECIDE_PAUSE: Duration = Duration::from_millis(20);
-/// Time after which peers that have not replied are asked again.
-const QUERY_PAUSE: Duration = Duration::from_millis(100);
-/// Time after which a peer's silence is taken for an answer.
-const QUERY_LIMIT: Duration = Duration::from_secs(1);
-/// How long a request waits for this host to become the one that acts; a takeover takes about
-/// 1.6 s, from the last heartbeat to the majority's fences.
-const ACT_LIMIT: Duration = Duration::from_millis(2_500);
-/// When to come back to a host that may not act: the length of a takeover.
-const ACT_RETRY: Duration = Duration::from_millis(1_500);
+/// Interval at which an undecided request is evaluated again.
+const DECISION_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the query is sent again to the peers that have not replied.
+const QUERY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which a peer that has not replied to the query counts as unable to tell.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a request waits for this host to be allowed to accept it. A takeover takes about 1.6 s
+/// from the last heartbeat until a majority has voted that the lease of the previous owner expired.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Retry delay that a refusal carries when this host may not accept the request: the duration of a
+/// takeover.
+const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Longest age that is stated; an older request is as unknown as one of this age.
-const LONGEST_AGE: Duration = Duration::from_secs(86_400);
+/// Maximum age that a frame states. An older request is treated like one of this age.
+const MAX_AGE: Duration = Duration::from_secs(86_400);
 
-/// What is to be done with a request.
-enum Verdict {
+/// What to do with a request that has not been accepted.
+enum TakeoverDecision {
     Wait,
-    TakeOn {
+    Accept {
         exclusive: bool,
     },
-    PassTo(HostId),
-    /// Another host is to decide, but the request was forwarded too often; the caller sends it
-    /// again, and by then the hosts agree on where to.
+    Forward(HostId),
+    /// Another host has to decide, but the frame has reached the hop limit. The caller sends it
+    /// again, and by then the hosts agree on the host to forward it to.
     Drop,
     Query,
     HeldBy(HostId),
@@ -61,7 +64,7 @@
 }
 
 impl HostCore {
-    /// Decides on a request that has not been taken on, if that is possible yet.
+    /// Decides on a request that has not been accepted, or schedules the next evaluation.
     pub(crate) fn decide(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
         let Some(record) = self.requests.get(key) else {
             return;
@@ -69,112 +72,119 @@
         let RequestStage::Deciding(takeover) = &record.stage else {
             return;
         };
-        match self.verdict(now, key, record, takeover) {
-            Verdict::Wait => self.requests.remind(now + DECIDE_PAUSE, key),
-            Verdict::TakeOn { exclusive } => self.take_on(now, key, exclusive, actions),
-            Verdict::PassTo(host) => self.pass_on(now, key, host, actions),
-            Verdict::Drop => {
+        match self.takeover_decision(now, key, record, takeover) {
+            TakeoverDecision::Wait => self.requests.schedule(now + DECISION_INTERVAL, key),
+            TakeoverDecision::Accept { exclusive } => self.accept(now, key, exclusive, actions),
+            TakeoverDecision::Forward(host) => self.forward(now, key, host, actions),
+            TakeoverDecision::Drop => {
                 self.requests.remove(key);
                 actions.push(HostAction::Count(ResultCode::HopsExceeded));
             }
-            Verdict::Query => {
+            TakeoverDecision::Query => {
                 self.query_peers(now, key, actions);
-                self.requests.remind(now + DECIDE_PAUSE, key);
+                self.requests.schedule(now + DECISION_INTERVAL, key);
             }
-            Verdict::HeldBy(holder) => self.learn_holder(now, key, holder, actions),
-            Verdict::Refuse(code) => {
+            TakeoverDecision::HeldBy(holder) => self.record_holder(now, key, holder, actions),
+            TakeoverDecision::Refuse(code) => {
                 let refusal = RefusalBody {
                     request: Some(key.request),
                     code,
                     outcome: RunOutcome::Unknown,
-                    retry_after: ACT_RETRY,
+                    retry_after: TAKEOVER_RETRY_DELAY,
                 };
                 self.refuse_request(key, refusal, actions);
             }
         }
     }
 
-    fn verdict(
+    fn takeover_decision(
         &self,
         now: Instant,
         key: RequestKey,
         record: &RequestRecord,
         takeover: &TakeoverState,
-    ) -> Verdict {
+    ) -> TakeoverDecision {
         let promisee = self.requests.promisee(key);
-        let since = self.acting_since(now, key.flow);
-        let is_first = since.is_some_and(|since| record.sent_after >= Some(since));
+        let since = self.accepting_since(now, key.flow);
+        let is_sent_since = since.is_some_and(|since| record.sent_after >= Some(since));
         if record.idempotent {
-            let exclusive = is_first && promisee.is_none();
-            return Verdict::TakeOn { exclusive };
+            let exclusive = is_sent_since && promisee.is_none();
+            return TakeoverDecision::Accept { exclusive };
         }
-        let may_pass = takeover.hops < MAX_HOPS;
-        let actor = self.actor_of(key.flow);
-        if actor != self.settings.host {
-            return match may_pass {
-                true => Verdict::PassTo(actor),
-                false => Verdict::Drop,
+        let may_forward = takeover.hops < MAX_HOPS;
+        let accepting_host = self.actor_of(key.flow);
+        if accepting_host != self.settings.host {
+            return match may_forward {
+                true => TakeoverDecision::Forward(accepting_host),
+                false => TakeoverDecision::Drop,
             };
         }
-        if !may_be_remembered(takeover.arrived, record.sent_after) {
-            return Verdict::Refuse(ResultCode::OutcomeUnknown);
+        if !may_still_be_recorded(takeover.arrived, record.sent_after) {
+            return TakeoverDecision::Refuse(ResultCode::OutcomeUnknown);
         }
         if since.is_none() {
-            return self.verdict_inactive(now, takeover);
+            return self.decision_before_accepting(now, takeover);
         }
-        // A host that once asked this one about the request may have taken it on.
-        if is_first && promisee.is_none() {
-            return Verdict::TakeOn { exclusive: true };
+        // A host that queried this one about the request may have accepted it.
+        if is_sent_since && promisee.is_none() {
+            return TakeoverDecision::Accept { exclusive: true };
         }
-        self.verdict_queried(now, key, record, takeover)
+        self.decision_after_query(now, key, record, takeover)
     }
 
-    /// This host may not act at present: waits if it soon may.
-    fn verdict_inactive(&self, now: Instant, takeover: &TakeoverState) -> Verdict {
+    /// Decides on a request while this host may not accept any: the request waits if that is likely
+    /// to change soon.
+    fn decision_before_accepting(
+        &self,
+        now: Instant,
+        takeover: &TakeoverState,
+    ) -> TakeoverDecision {
         let book = self.membership.book();
-        let may_soon = book.holds_claim(now) || book.is_settling(now);
-        if may_soon && now < takeover.arrived + ACT_LIMIT {
-            return Verdict::Wait;
+        let may_accept_soon = book.holds_claim(now) || book.is_settling(now);
+        if may_accept_soon && now < takeover.arrived + ACCEPT_TIMEOUT {
+            return TakeoverDecision::Wait;
         }
-        Verdict::Refuse(ResultCode::NotOwner)
+        TakeoverDecision::Refuse(ResultCode::NotOwner)
     }
 
-    /// This host acts, but the request may be older than that: every peer has to be asked.
-    fn verdict_queried(
+    /// Decides on a request that may have been sent before this host was allowed to accept it,
+    /// which requires a reply from every peer.
+    fn decision_after_query(
         &self,
         now: Instant,
         key: RequestKey,
         record: &RequestRecord,
         takeover: &TakeoverState,
-    ) -> Verdict {
+    ) -> TakeoverDecision {
         let held = |(_id, state): &(&HostId, &RecordState)| **state == RecordState::Held;
         if let Some((holder, _state)) = takeover.replies.iter().find(held) {
-            return Verdict::HeldBy(*holder);
+            return TakeoverDecision::HeldBy(*holder);
         }
         let Some(queried) = takeover.queried else {
-            return Verdict::Query;
+            return TakeoverDecision::Query;
         };
         let peers = self.peers_to_query(now, key, record.sent_after);
         let replies = &takeover.replies;
         let is_absent = |id: &HostId| replies.get(id) == Some(&RecordState::Absent);
-        let own_absent = record.sent_after >= Some(self.membership.removal_horizon());
-        if own_absent && peers.iter().all(is_absent) {
-            return Verdict::TakeOn { exclusive: true };
+        let is_after_horizon = record.sent_after >= Some(self.membership.record_horizon());
+        if is_after_horizon && peers.iter().all(is_absent) {
+            return TakeoverDecision::Accept { exclusive: true };
         }
         let may_reply =
             |id: &HostId| !replies.contains_key(id) && self.membership.is_heard(now, *id);
-        let hopeful = peers.iter().any(may_reply);
-        if hopeful && now < queried + QUERY_LIMIT {
+        let awaits_replies = peers.iter().any(may_reply);
+        if awaits_replies && now < queried + QUERY_TIMEOUT {
             return match now < takeover.next_query {
-                true => Verdict::Wait,
-                false => Verdict::Query,
+                true => TakeoverDecision::Wait,
+                false => TakeoverDecision::Query,
             };
         }
-        Verdict::Refuse(ResultCode::OutcomeUnknown)
+        TakeoverDecision::Refuse(ResultCode::OutcomeUnknown)
     }
 
-    /// The members that may have taken on a request first sent after `sent_after`: all but those
-    /// that have been fenced since, for a host takes requests on only while it acts.
+    /// Returns the members that may have accepted a request first sent after `sent_after`. These
+    /// are all members except those whose leases have been expired since then, because a host
+    /// accepts requests only while it holds its lease.
     fn peers_to_query(
         &self,
         now: Instant,
@@ -184,7 +194,7 @@
         let book = self.membership.book();
         let promisee = self.requests.promisee(key);
         let is_excluded = |id: &HostId| {
-            let since = book.fenced_since(now, *id);
+            let since = book.lease_expired_since(now, *id);
             since.is_some() && since <= sent_after && promisee != Some(*id)
         };
         let members = self.membership.members().iter().copied();
@@ -193,14 +203,15 @@
             .collect()
     }
 
-    /// Since when this host has been the only one that may take on requests of a flow.
-    pub(crate) fn acting_since(&self, now: Instant, flow: FlowDigest) -> Option<Instant> {
+    /// Returns the time since which this host has been the only one that may accept requests of a
+    /// flow; `None` if it may not at present.
+    pub(crate) fn accepting_since(&self, now: Instant, flow: FlowDigest) -> Option<Instant> {
         let members = self.membership.members();
         let ahead = ranked_ahead(flow, self.settings.host, members);
-        self.membership.book().acting_since(now, &ahead)
+        self.membership.book().accepting_since(now, &ahead)
     }
 
-    fn take_on(
+    fn accept(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -210,14 +221,15 @@
         let Some(record) = self.requests.get_mut(key) else {
             return;
         };
-        record.taken = true;
+        record.accepted = true;
         record.exclusive = exclusive;
         record.stage = RequestStage::Waiting;
         self.submit(now, key, actions);
     }
 
-    /// Passes a request that was not taken on to the host that may, and forgets it.
-    fn pass_on(
+    /// Forwards a request that was not accepted to the host that may accept it, and removes its
+    /// record.
+    fn forward(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -231,11 +243,11 @@
             return;
         };
         let hops = takeover.hops + 1;
-        let frame = takeover_frame(takeover, now);
+        let frame = forwarded_frame(takeover, now);
         self.send_caller_frame(host, hops, record.caller, frame, actions);
     }
 
-    fn learn_holder(
+    fn record_holder(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -247,14 +259,14 @@
         };
         let stage = std::mem::replace(&mut record.stage, RequestStage::HeldBy(holder));
         if let RequestStage::Deciding(takeover) = stage {
-            let frame = takeover_frame(takeover, now);
-            self.pass_to_holder(now, key, holder, &frame, actions);
+            let frame = forwarded_frame(takeover, now);
+            self.forward_to_holder(now, key, holder, &frame, actions);
         }
     }
 
-    /// Passes a copy to the host that has taken the request on, or says that nobody can tell any
-    /// more when that one is gone.
-    pub(crate) fn pass_to_holder(
+    /// Forwards a copy to the host that has accepted the request. If that host is not reachable any
+    /// more, refuses the request with an unknown outcome.
+    pub(crate) fn forward_to_holder(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -273,7 +285,7 @@
             request: Some(key.request),
             code: ResultCode::OutcomeUnknown,
             outcome: RunOutcome::Unknown,
-            retry_after: ACT_RETRY,
+            retry_after: TAKEOVER_RETRY_DELAY,
         };
         self.refuse_request(key, refusal, actions);
     }
@@ -284,13 +296,13 @@
             return;
         };
         let sent_after = record.sent_after;
-        let age = sent_after.map_or(LONGEST_AGE, |sent| now.saturating_duration_since(sent));
+        let age = sent_after.map_or(MAX_AGE, |sent| now.saturating_duration_since(sent));
         let query = RecordQuery {
             number: 0,
             flow: key.flow,
             request: key.request,
             echo: None,
-            age: age.min(LONGEST_AGE),
+            age: age.min(MAX_AGE),
             remaining: record.forget_deadline.saturating_duration_since(now),
             member_set,
         };
@@ -307,7 +319,7 @@
             self.next_attempt += 1;
         }
         let number = takeover.query_number;
-        takeover.next_query = now + QUERY_PAUSE;
+        takeover.next_query = now + QUERY_RETRY_INTERVAL;
         let unanswered: Vec<HostId> = peers
             .into_iter()
             .filter(|id| !takeover.replies.contains_key(id))
@@ -323,9 +335,9 @@
         }
     }
 
-    /// Answers a peer that wants to take a request on; saying that there is no record of it is a
-    /// promise not to take it on later.
-    pub(crate) fn take_query(
+    /// Replies to a peer that wants to accept a request. The reply that this host has no record of
+    /// the request is a promise not to accept it later.
+    pub(crate) fn handle_query(
         &mut self,
         now: Instant,
         sender: HostId,
@@ -334,14 +346,14 @@
     ) {
         let key = query.key();
         let forget_deadline =
-            now + query.remaining.min(LONGEST_DEADLINE) + self.settings.max_datagram_age;
+            now + query.remaining.min(MAX_REQUEST_TIMEOUT) + self.settings.max_datagram_age;
         let state = match self.requests.get(key) {
-            Some(record) if record.taken => RecordState::Held,
+            Some(record) if record.accepted => RecordState::Held,
             Some(record) => match record.stage {
                 RequestStage::HeldBy(holder) if holder != sender => RecordState::Unsure,
-                _ => self.state_untaken(now, query),
+                _ => self.state_if_not_accepted(now, query),
             },
-            None => self.state_untaken(now, query),
+            None => self.state_if_not_accepted(now, query),
         };
         if state == RecordState::Absent {
             self.requests.promise(key, sender, forget_deadline);
@@ -361,22 +373,23 @@
         self.send_peer(sender, 1, PeerBody::Reply(reply), actions);
     }
 
-    /// What this host knows of a request that it has not taken on: nothing, if the request may be
-    /// older than its memory, than the process or than the removal of a member, or if the sender
-    /// counts over other members.
-    fn state_untaken(&self, now: Instant, query: &RecordQuery) -> RecordState {
+    /// Returns what this host knows about a request that it has not accepted. The state is
+    /// [`RecordState::Unsure`] if the request may be older than this host's records, its process or
+    /// the last removal of a member, or if the sender has another list of members.
+    fn state_if_not_accepted(&self, now: Instant, query: &RecordQuery) -> RecordState {
         let book = self.membership.book();
         let written = query.echo.and_then(|echo| book.sent_at(echo));
-        let sent_after = written.and_then(|written| written.checked_sub(query.age + CLAIM_MARGIN));
+        let sent_after =
+            written.and_then(|written| written.checked_sub(query.age + CLOCK_DRIFT_MARGIN));
         let same_set = query.member_set == book.member_set();
-        let is_younger = sent_after >= Some(self.membership.removal_horizon());
-        match same_set && is_younger && may_be_remembered(now, sent_after) {
+        let is_after_horizon = sent_after >= Some(self.membership.record_horizon());
+        match same_set && is_after_horizon && may_still_be_recorded(now, sent_after) {
             true => RecordState::Absent,
             false => RecordState::Unsure,
         }
     }
 
-    pub(crate) fn take_reply(
+    pub(crate) fn handle_reply(
         &mut self,
         now: Instant,
         sender: HostId,
@@ -390,7 +403,7 @@
         if let RequestStage::Deciding(takeover) = &mut record.stage
             && takeover.query_number == reply.number
         {
-            // A reply that knows more is not undone by one that was delayed.
+            // A delayed reply must not replace one that states more.
             let known = takeover.replies.entry(sender).or_insert(reply.state);
             *known = reply.state.max(*known);
             self.decide(now, key, actions);
@@ -398,27 +411,28 @@
     }
 }
 
-/// Whether a host that had taken a request on would still remember it at `now`.
-fn may_be_remembered(now: Instant, sent_after: Option<Instant>) -> bool {
-    sent_after.is_some_and(|sent| now < sent + RECORD_MEMORY)
+/// Whether a host that accepted a request would still have its record at `now`.
+fn may_still_be_recorded(now: Instant, sent_after: Option<Instant>) -> bool {
+    sent_after.is_some_and(|sent| now < sent + MIN_RECORD_LIFETIME)
 }
 
-fn takeover_frame(takeover: TakeoverState, now: Instant) -> CallerFrame {
+fn forwarded_frame(takeover: TakeoverState, now: Instant) -> CallerFrame {
     let waited = now.saturating_duration_since(takeover.arrived);
-    aged_frame(takeover.frame, now, takeover.read, waited)
+    with_elapsed_time(takeover.frame, now, takeover.read, waited)
 }
 
-/// The frame as its caller would send it now: `read` bounds when a host read it at the earliest,
-/// and `waited` is how long it has been here.
-pub(crate) fn aged_frame(
+/// Returns the frame with its age and remaining time as its caller would state them now. `read` is
+/// a lower bound on the time at which a host read it, and `waited` is how long it has been at this
+/// host.
+pub(crate) fn with_elapsed_time(
     mut frame: CallerFrame,
     now: Instant,
     read: Option<Instant>,
     waited: Duration,
 ) -> CallerFrame {
     if let CallerBody::Request(body) = &mut frame.body {
-        let since_read = read.map_or(LONGEST_AGE, |read| now.saturating_duration_since(read));
-        body.age = LONGEST_AGE.min(body.age.saturating_add(since_read));
+        let since_read = read.map_or(MAX_AGE, |read| now.saturating_duration_since(read));
+        body.age = MAX_AGE.min(body.age.saturating_add(since_read));
         body.remaining = body.remaining.saturating_sub(waited);
     }
     frame
--- a/lib/src/choice_tree.rs
+++ b/lib/src/tournament_tree.rs
@@ -1,23 +1,23 @@
-//! A tournament over candidates: the smallest key wins, and changing one key is cheap.
+//! Tournament tree that finds the candidate with the smallest key.
 //!
-//! Load pattern: a service of thousands of upstreams, each of whose keys changes with every job.
-//! Without it each choice reads all candidates. The tree replays only the path from a changed leaf
-//! to the root, 13 comparisons for 5,000 candidates, and allocates only when it is built.
+//! A service may have thousands of upstreams whose keys change with every request, and a linear
+//! search would read all of them for each choice. A key change replays only the path from its leaf
+//! to the root, 13 comparisons for 5,000 candidates. The tree allocates only when it is built.
 
-/// The candidates' keys and the winners of every pairing.
+/// The keys of all candidates and the winner of each match.
 #[derive(Clone, Debug, Default)]
-pub struct ChoiceTree {
-    /// One key a candidate; infinite keys never win.
+pub struct TournamentTree {
+    /// One key per candidate; infinite keys never win.
     keys: Vec<f64>,
-    /// Winner of each pairing; node `n` pairs nodes `2n` and `2n + 1`, leaf `i` is `width + i`.
-    /// Invariant: node 1 holds the candidate with the smallest key.
+    /// Winner of each match; node `n` compares nodes `2n` and `2n + 1`, and leaf `i` is node `width
+    /// + i`. Invariant: node 1 holds the candidate with the smallest key.
     winners: Vec<u32>,
     /// Number of leaves, a power of two.
     width: usize,
 }
 
-impl ChoiceTree {
-    /// Makes a tree of `count` candidates, none of which can win yet.
+impl TournamentTree {
+    /// Creates a tree of `count` candidates, all with infinite keys.
     pub fn new(count: usize) -> Self {
         let width = count.next_power_of_two();
         let mut winners = vec![0; 2 * width];
@@ -35,7 +35,7 @@
         tree
     }
 
-    /// Gives a candidate a key; `f64::INFINITY` takes it out.
+    /// Sets the key of a candidate; `f64::INFINITY` excludes it.
     pub fn set(&mut self, candidate: usize, key: f64) {
         self.keys[candidate] = key;
         let mut node = (self.width + candidate) / 2;
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The key of a candidate.
+    /// Returns the key of a candidate.
     pub fn key(&self, candidate: usize) -> f64 {
         self.keys[candidate]
     }
 
-    /// The candidate with the smallest finite key; the lower index among equals.
+    /// Returns the candidate with the smallest finite key, and the lower index among equal keys.
     pub fn best(&self) -> Option<usize> {
         let winner = *self.winners.get(1)? as usize;
         self.keys
--- a/lib/src/upstream_addresses.rs
+++ b/lib/src/upstream_addresses.rs
@@ -1,7 +1,7 @@
-//! Where upstream processes are reached, those that are no longer published included.
+//! Addresses of upstream processes, including those that are deregistered.
 //!
-//! A flow stays with the process it was opened on. Its frames may reach that process after it was
-//! removed from the list, and must never reach another process that was given its address.
+//! A flow stays with the process it was opened on. Its frames may reach that process after its
+//! deregistration, and must never reach another process that was given its address.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,33 +11,34 @@
 use crate::ids::Incarnation;
 use crate::ids::UpstreamId;
 
-/// Most processes remembered after their removal; those with the smallest numbers go first.
-const MAX_FORMER: usize = 4_096;
+/// Maximum number of deregistered processes kept; those with the smallest numbers are dropped
+/// first.
+const MAX_DEREGISTERED: usize = 4_096;
 
-/// Whether and where an upstream process is reached.
+/// Whether and where an upstream process is reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamReach {
-    /// It is published, or was and nobody else has its address.
+    /// The process is published, or was published and no other process has its address.
     At(SocketAddr),
-    /// Another process has its number or address: its flows have ended.
-    Gone,
-    /// This host has not seen the configuration that names it yet.
-    Unseen,
+    /// Another process has its number or address, so its flows have ended.
+    Replaced,
+    /// This host has not yet seen the configuration that contains the process.
+    NotYetKnown,
 }
 
-/// The addresses of upstream processes, by number and incarnation.
+/// Addresses of upstream processes by number and generation.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamAddresses {
     published: BTreeMap<UpstreamId, (Incarnation, SocketAddr)>,
-    former: BTreeMap<(UpstreamId, Incarnation), UpstreamReach>,
+    deregistered: BTreeMap<(UpstreamId, Incarnation), UpstreamReach>,
 }
 
 impl UpstreamAddresses {
     /// Applies a configuration.
     ///
-    /// Removing an upstream is planned, and its flows go on at its last address until they close
-    /// or fall idle. As soon as the address is published for another process, they have ended:
-    /// that process would take their frames for its own.
+    /// The deregistration of an upstream is planned, and its flows continue at its last address
+    /// until they close or become idle. They end as soon as the address is published for another
+    /// process, which would take their frames for its own.
     pub fn configure(&mut self, config: &ConfigSnapshot) {
         let published = config
             .upstreams
@@ -48,7 +49,7 @@
         for (upstream, (incarnation, address)) in removed {
             if !self.published.contains_key(&upstream) {
                 let reach = UpstreamReach::At(address);
-                self.former.insert((upstream, incarnation), reach);
+                self.deregistered.insert((upstream, incarnation), reach);
             }
         }
         let taken: BTreeSet<SocketAddr> = self
@@ -56,50 +57,52 @@
             .values()
             .map(|(_incarnation, address)| *address)
             .collect();
-        for reach in self.former.values_mut() {
+        for reach in self.deregistered.values_mut() {
             if let UpstreamReach::At(address) = reach
                 && taken.contains(address)
             {
-                *reach = UpstreamReach::Gone;
+                *reach = UpstreamReach::Replaced;
             }
         }
-        while self.former.len() > MAX_FORMER {
-            self.former.pop_first();
+        while self.deregistered.len() > MAX_DEREGISTERED {
+            self.deregistered.pop_first();
         }
     }
 
-    /// Takes in where a peer reaches a process that is not published any more.
+    /// Adds the address at which a peer reaches a deregistered process.
     pub fn learn(&mut self, upstream: UpstreamId, incarnation: Incarnation, address: SocketAddr) {
         let mut published = self.published.values();
         let taken = published.any(|(_incarnation, other)| *other == address);
         if !taken && !self.published.contains_key(&upstream) {
             let reach = UpstreamReach::At(address);
-            self.former.entry((upstream, incarnation)).or_insert(reach);
+            self.deregistered
+                .entry((upstream, incarnation))
+                .or_insert(reach);
         }
     }
 
-    /// Where a process is reached.
+    /// Returns where a process is reachable.
     pub fn reach(&self, upstream: UpstreamId, incarnation: Incarnation) -> UpstreamReach {
         match self.published.get(&upstream) {
             Some((present, address)) if *present == incarnation => UpstreamReach::At(*address),
-            Some((present, _address)) if *present > incarnation => UpstreamReach::Gone,
-            Some(_older) => UpstreamReach::Unseen,
+            Some((present, _address)) if *present > incarnation => UpstreamReach::Replaced,
+            Some(_older) => UpstreamReach::NotYetKnown,
             None => {
-                let former = self.former.get(&(upstream, incarnation));
-                former.copied().unwrap_or(UpstreamReach::Unseen)
+                let deregistered = self.deregistered.get(&(upstream, incarnation));
+                deregistered.copied().unwrap_or(UpstreamReach::NotYetKnown)
             }
         }
     }
 
-    /// The last address of a process that is not published any more.
+    /// Returns the last address of a deregistered process.
     pub fn former_address(
         &self,
         upstream: UpstreamId,
         incarnation: Incarnation,
     ) -> Option<SocketAddr> {
-        match self.former.get(&(upstream, incarnation))? {
+        match self.deregistered.get(&(upstream, incarnation))? {
             UpstreamReach::At(address) => Some(*address),
-            UpstreamReach::Gone | UpstreamReach::Unseen => None,
+            UpstreamReach::Replaced | UpstreamReach::NotYetKnown => None,
         }
     }
 }
--- a/lib/src/upstream_system.rs
+++ b/lib/src/upstream_system.rs
@@ -1,4 +1,4 @@
-//! What a host does with the frames of upstreams.
+//! Handling of frames from upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use crate::answer_buffer::AnswerBuffer;
 use crate::host_action::HostAction;
 use crate::host_core::HostCore;
-use crate::load_policy::JobEnd;
+use crate::load_policy::AttemptOutcome;
 use crate::request_system::cancelled;
+use crate::request_system::outcome_before_send;
 use crate::request_system::to_caller;
-use crate::request_system::waiting_outcome;
 use crate::request_table::RequestKey;
 use crate::request_table::RequestStage;
 use crate::result_code::ResultCode;
@@ -26,7 +26,7 @@
 use crate::wire_frame::UpstreamFrame;
 
 impl HostCore {
-    pub(crate) fn take_upstream(
+    pub(crate) fn handle_upstream_frame(
         &mut self,
         now: Instant,
         _source: SocketAddr,
@@ -35,7 +35,7 @@
     ) {
         let owner = frame.tag.owner;
         if owner == self.settings.host {
-            self.match_answer(now, frame, actions);
+            self.handle_owned_upstream_frame(now, frame, actions);
             return;
         }
         if self.membership.is_heard(now, owner) {
@@ -45,11 +45,12 @@
         deliver_unowned(&frame, actions);
     }
 
-    /// Matches an upstream's frame to the flow, request and attempt it belongs to.
+    /// Matches an upstream's frame to its flow, request and attempt.
     ///
-    /// A frame of a former attempt, or of a former process at the upstream's address, would mix two
-    /// answers and is dropped. One that a former process of this host asked for is delivered.
-    pub(crate) fn match_answer(
+    /// A frame of a previous attempt, or of a previous process at the upstream's address, is
+    /// dropped, because it would mix two responses. A response that a previous process of this host
+    /// requested is delivered.
+    pub(crate) fn handle_owned_upstream_frame(
         &mut self,
         now: Instant,
         frame: UpstreamFrame,
@@ -78,11 +79,11 @@
                 reason,
                 retry_after,
             } => {
-                self.take_not_started(now, key, reason, retry_after, actions);
+                self.handle_not_started(now, key, reason, retry_after, actions);
             }
             UpstreamBody::Part(part) => {
                 let run = tag.run_id();
-                self.take_part(now, key, &AnswerPart { run, ..part }, actions);
+                self.handle_part(now, key, &AnswerPart { run, ..part }, actions);
             }
             UpstreamBody::Open
             | UpstreamBody::Close
@@ -93,12 +94,12 @@
         }
     }
 
-    /// The upstream has proved that the attempt did not run: the request waits again, or is given
-    /// up if its caller has cancelled it.
+    /// Handles a proof that the attempt did not run: the request waits again, or is refused if its
+    /// caller has cancelled it.
     ///
-    /// A process that was started at the upstream's address meanwhile may say so of the
-    /// cancellation, which is no word on what its predecessor ran.
-    fn take_not_started(
+    /// A new process at the upstream's address may send such a proof in reply to the cancellation.
+    /// It says nothing about what the previous process ran and is ignored.
+    fn handle_not_started(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -117,16 +118,21 @@
             return;
         }
         record.stage = RequestStage::Waiting;
-        let outcome = waiting_outcome(record);
+        let outcome = outcome_before_send(record);
         if is_cancelled {
             self.refuse_request(key, cancelled(key.request, outcome), actions);
-            return self.end_attempt(now, key, JobEnd::Cancelled, actions);
+            return self.end_attempt(now, key, AttemptOutcome::Cancelled, actions);
         }
         record.retry_reason = Some(reason.code());
-        self.end_attempt(now, key, JobEnd::NotStarted { retry_after }, actions);
+        self.end_attempt(
+            now,
+            key,
+            AttemptOutcome::NotStarted { retry_after },
+            actions,
+        );
     }
 
-    fn take_part(
+    fn handle_part(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -161,8 +167,9 @@
         }
     }
 
-    /// Keeps a whole answer until its caller acknowledges it; the oldest give way when all
-    /// together take too much memory, and whoever asks for those again hears that they ran.
+    /// Keeps a whole response until its caller acknowledges it. When all responses together take
+    /// too much memory, the oldest are dropped, and callers that request those again learn that
+    /// they ran.
     fn keep_answer(
         &mut self,
         now: Instant,
@@ -182,23 +189,23 @@
                 retry_after: Duration::ZERO,
             });
         }
-        self.end_attempt(now, key, JobEnd::Answered, actions);
+        self.end_attempt(now, key, AttemptOutcome::Answered, actions);
     }
 
     pub(crate) fn end_attempt(
         &mut self,
         now: Instant,
         key: RequestKey,
-        end: JobEnd,
+        outcome: AttemptOutcome,
         actions: &mut Vec<HostAction>,
     ) {
         let mut decisions = Vec::new();
-        self.policy.end(now, key, end, &mut decisions);
+        self.policy.end(now, key, outcome, &mut decisions);
         self.carry_out(now, decisions, actions);
     }
 }
 
-/// Delivers an answer whose owner is gone by what its tag says.
+/// Delivers a response without an owner to the caller that its tag names.
 fn deliver_unowned(frame: &UpstreamFrame, actions: &mut Vec<HostAction>) {
     let UpstreamBody::Part(part) = &frame.body else {
         return;
--- a/lib/src/wire_frame.rs
+++ b/lib/src/wire_frame.rs
@@ -17,11 +17,11 @@
 use siphasher::sip128::SipHasher24;
 use std::hash::Hasher;
 
-use crate::cell_heartbeat::CellHeartbeat;
-use crate::cell_heartbeat::HeartbeatEcho;
 use crate::flow_hash::rendezvous_weight;
 use crate::flow_message::FlowMessage;
 use crate::flow_message::FlowParties;
+use crate::group_heartbeat::GroupHeartbeat;
+use crate::group_heartbeat::HeartbeatEcho;
 use crate::ids::FlowId;
 use crate::ids::HostId;
 use crate::ids::Incarnation;
@@ -297,7 +297,7 @@
     /// Between the load policies of two hosts.
     Load(LoadMessage),
     /// Sign of life, echo and votes, within a cell.
-    Heartbeat(CellHeartbeat),
+    Heartbeat(GroupHeartbeat),
     /// Asks for a request's record before the sender takes it on.
     Query(RecordQuery),
     /// Answers a query.
--- a/lib/tests/late_policy.rs
+++ b/lib/tests/deferred_policy.rs
@@ -1,32 +1,37 @@
-//! A load policy that decides on a job as it arrives and lets it go only at the next tick, whatever
-//! has been published meanwhile.
+//! Load policy that decides on a request on arrival and releases the decision at the next tick,
+//! even if the configuration has changed in the meantime.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use lagoonproxy::config_snapshot::ConfigSnapshot;
 use lagoonproxy::ids::UpstreamId;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
+use lagoonproxy::load_policy::SubmittedRequest;
 use lagoonproxy::request_table::RequestKey;
 
-/// Sends every free job to one upstream, late.
-pub struct LatePolicy {
-    /// The upstream.
+/// Sends every unpinned request to one upstream, deferred to the next tick.
+pub struct DeferredPolicy {
+    /// Upstream that unpinned requests are sent to.
     pub upstream: UpstreamId,
-    /// The decisions that wait for the tick.
+    /// Decisions deferred to the next tick.
     pub waiting: Vec<LoadDecision>,
 }
 
-impl LoadPolicy for LatePolicy {
+impl LoadPolicy for DeferredPolicy {
     fn configure(&mut self, _now: Instant, _config: &Arc<ConfigSnapshot>) {}
 
-    fn submit(&mut self, _now: Instant, job: LoadJob, _decisions: &mut Vec<LoadDecision>) {
+    fn submit(
+        &mut self,
+        _now: Instant,
+        request: SubmittedRequest,
+        _decisions: &mut Vec<LoadDecision>,
+    ) {
         self.waiting.push(LoadDecision::Send {
-            key: job.key,
-            upstream: job.pinned.unwrap_or(self.upstream),
+            key: request.key,
+            upstream: request.pinned.unwrap_or(self.upstream),
         });
     }
 
@@ -34,7 +39,7 @@
         &mut self,
         _now: Instant,
         _key: RequestKey,
-        _end: JobEnd,
+        _end: AttemptOutcome,
         _decisions: &mut Vec<LoadDecision>,
     ) {
     }
--- a/lib/tests/fake_cell_ends.rs
+++ b/lib/tests/fake_endpoints.rs
@@ -1,5 +1,5 @@
-//! Both ends of the fake cell: callers that send again and judge what they get, and upstreams that
-//! never drop a copy and enforce deadlines.
+//! Callers and upstreams of the simulated group. Callers retransmit requests and verify the
+//! replies; upstreams run every copy of a request and enforce deadlines.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 use lagoonproxy::wire_frame::UpstreamFrame;
 use rand::RngExt;
 
-use crate::fake_cell::Delivery;
-use crate::fake_cell::FakeCell;
-use crate::fake_cell::FakeRequest;
-use crate::fake_cell::caller_of;
+use crate::fake_group::Delivery;
+use crate::fake_group::FakeGroup;
+use crate::fake_group::FakeRequest;
+use crate::fake_group::flow_caller;
 use crate::world::ledger_address;
 use crate::world::upstream_address;
 
 const PART_LEN: usize = 40;
 
-impl FakeCell {
-    /// Begins a request of flow `flow` whose caller waits `wait` milliseconds.
+impl FakeGroup {
+    /// Starts a request on flow `flow` whose caller waits `wait` milliseconds.
     pub fn request(&mut self, flow: u64, wait: u64, idempotent: bool, cancel_at: Option<u64>) {
         let number = self.requests.len() as u64 + 1;
         let request = FakeRequest {
@@ -40,7 +40,7 @@
         self.requests.insert(number, request);
     }
 
-    /// Callers send each request without outcome again and again, to any host.
+    /// Sends each request without an outcome every 100 ms, each time to a random host.
     pub(crate) fn send_requests(&mut self) {
         let numbers: Vec<u64> = self.requests.keys().copied().collect();
         for number in numbers {
@@ -61,16 +61,16 @@
             let cancels = request.cancel_at.is_some_and(|at| at <= self.time);
             let flow = request.flow;
             if cancels {
-                self.spray(flow, CallerBody::Cancel { request: number });
+                self.send_to_random_host(flow, CallerBody::Cancel { request: number });
             }
-            self.spray(flow, CallerBody::Request(body));
+            self.send_to_random_host(flow, CallerBody::Request(body));
         }
     }
 
-    pub(crate) fn spray(&mut self, flow: u64, body: CallerBody) {
-        let index = self.random.random_range(0..self.hosts.len());
+    pub(crate) fn send_to_random_host(&mut self, flow: u64, body: CallerBody) {
+        let index = self.rng.random_range(0..self.hosts.len());
         let event = HostEvent::CallerFrame {
-            caller: caller_of(flow),
+            caller: flow_caller(flow),
             frame: CallerFrame {
                 service: ledger_address(),
                 flow,
@@ -81,28 +81,28 @@
         self.send(Delivery::Host(id, event), 0, true);
     }
 
-    pub(crate) fn take_reply(&mut self, frame: &CallerFrame) {
+    pub(crate) fn handle_reply(&mut self, frame: &CallerFrame) {
         match &frame.body {
             CallerBody::Refusal(refusal) => {
                 let Some(number) = refusal.request else {
                     return;
                 };
                 let request = self.requests.get_mut(&number).unwrap();
-                assert_eq!(request.flow, frame.flow, "a refusal on a foreign flow");
+                assert_eq!(request.flow, frame.flow, "refusal sent on another flow");
                 request.refusals.push(refusal.outcome);
                 request.codes.push(refusal.code);
             }
             CallerBody::Accepted { request } => {
                 self.requests.get_mut(request).unwrap().accepted = true;
             }
-            CallerBody::Part(part) => self.take_part(frame.flow, part),
+            CallerBody::Part(part) => self.receive_part(frame.flow, part),
             _ => {}
         }
     }
 
-    pub(crate) fn take_part(&mut self, flow: u64, part: &AnswerPart) {
+    pub(crate) fn receive_part(&mut self, flow: u64, part: &AnswerPart) {
         let request = self.requests.get_mut(&part.request).unwrap();
-        assert_eq!(request.flow, flow, "a part on a foreign flow");
+        assert_eq!(request.flow, flow, "response sent on another flow");
         let fresh = AnswerBuffer::new(part);
         let buffer = request.answers.entry(part.run).or_insert(fresh);
         buffer.add(part);
@@ -114,12 +114,12 @@
         assert_eq!(
             bytes,
             answer_bytes(part.request, run),
-            "a foreign answer to {}",
+            "wrong response to request {}",
             part.request
         );
         request.answered = true;
         let number = part.request;
-        self.spray(flow, CallerBody::Ack { request: number });
+        self.send_to_random_host(flow, CallerBody::Ack { request: number });
     }
 
     pub(crate) fn run_upstream(&mut self, id: u32, frame: &UpstreamFrame) {
@@ -150,17 +150,17 @@
         if remaining.is_zero() {
             return self.reply(id, tag, not_started(NotStartedReason::DeadlinePassed), 0);
         }
-        if self.random.random_bool(self.shed) {
+        if self.rng.random_bool(self.shed) {
             return self.reply(id, tag, not_started(NotStartedReason::Shed), 0);
         }
         let request = self.requests.get_mut(&tag.request).unwrap();
-        assert_eq!(request.flow, tag.flow, "a run on a foreign flow");
+        assert_eq!(request.flow, tag.flow, "request run for another flow");
         request.runs += 1;
         let answer = answer_bytes(tag.request, request.runs);
         let key = (id, tag.run_id() ^ tag.request);
         self.running.insert(key, self.time);
         self.reply(id, tag, UpstreamBody::Started, 0);
-        let service_time = self.random.random_range(1..1_500);
+        let service_time = self.rng.random_range(1..1_500);
         for (index, chunk) in answer.chunks(PART_LEN).enumerate() {
             let part = AnswerPart {
                 request: tag.request,
@@ -182,7 +182,8 @@
     }
 }
 
-/// An answer that names its run first, so that parts of two runs are told apart.
+/// Returns a response that starts with the number of its run, so that mixed parts of two runs are
+/// detected.
 fn answer_bytes(request: u64, run: u32) -> Vec<u8> {
     let mut bytes = run.to_le_bytes().to_vec();
     for index in 0..100 {
--- a/lib/tests/fake_cell.rs
+++ b/lib/tests/fake_group.rs
@@ -1,5 +1,5 @@
-//! A cell of hosts joined by a faulty network in virtual time, with upstreams that never tell two
-//! copies of a request apart, callers, and a reference model of what each request did.
+//! Simulates an ownership group in virtual time: hosts on an unreliable network, callers, upstreams
+//! that do not detect duplicate requests, and a reference model of what happened to each request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,55 +35,57 @@
 use crate::world::ledger_address;
 use crate::world::ledger_config;
 
-/// Step of virtual time, and time between two ticks, in milliseconds.
+/// Step of virtual time and interval between two ticks, in milliseconds.
 pub const STEP: u64 = 20;
 const UPSTREAMS: u32 = 3;
-/// Key of the digests of flows.
+/// Key of the flow digests.
 pub const FLOW_KEY: [u8; 16] = [7; 16];
 
-/// A host of the cell.
+/// A host of the group.
 pub struct FakeHost {
-    /// Its number.
+    /// Number of the host.
     pub id: HostId,
-    /// Its core, unless the process is down.
+    /// The host's core; `None` while its process is down.
     pub core: Option<HostCore>,
     pub(crate) incarnation: u64,
-    /// Number of its newest heartbeat, and the digest of its members in that.
+    /// Number of its newest heartbeat; [`Self::member_set`] is the member digest from that
+    /// heartbeat.
     pub last_heartbeat: u64,
     /// See [`Self::last_heartbeat`].
     pub member_set: u32,
-    /// How long its next actions are held back, as by a freeze before sending.
-    pub hold_next: Option<u64>,
-    /// What its clock shows at virtual time zero, and how fast it runs.
-    pub(crate) base: Instant,
-    pub(crate) rate: f64,
-    /// Until when the process does not run; what arrives waits.
+    /// Delay in milliseconds of the next actions that forward a caller's frame, which simulates a
+    /// stall before sending.
+    pub next_send_delay: Option<u64>,
+    /// The host's clock shows `clock_base` at virtual time zero and runs at `clock_rate`.
+    pub(crate) clock_base: Instant,
+    pub(crate) clock_rate: f64,
+    /// Virtual time in milliseconds until which the process is frozen; its events wait in `inbox`.
     pub frozen_until: u64,
     pub(crate) inbox: Vec<HostEvent>,
     pub(crate) view: Arc<HostView>,
-    /// Whether it was asked to stop.
+    /// Whether the host was told to drain.
     pub draining: bool,
-    /// Whether it has reported a drain as complete.
+    /// Whether the host has reported that it is drained.
     pub drained: bool,
 }
 
-/// A request and what is known of it from outside the hosts.
+/// A request and what can be observed of it outside of the hosts.
 #[derive(Default, Debug)]
 pub struct FakeRequest {
     pub(crate) flow: u64,
     pub(crate) first_sent: u64,
     pub(crate) deadline: u64,
     pub(crate) cancel_at: Option<u64>,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// How often upstreams have run it.
+    /// Number of times that upstreams have run the request.
     pub runs: u32,
-    /// What its caller was told.
+    /// Outcomes of the refusals that the caller received.
     pub refusals: Vec<RunOutcome>,
-    /// And why.
+    /// Codes of the refusals that the caller received.
     pub codes: Vec<ResultCode>,
     pub(crate) answers: BTreeMap<u64, AnswerBuffer>,
-    /// Whether its caller has a whole answer.
+    /// Whether the caller has a complete response.
     pub answered: bool,
     pub(crate) accepted: bool,
 }
@@ -94,81 +96,81 @@
     Caller(CallerFrame),
 }
 
-/// How bad the network is at present.
+/// Faults of the network.
 #[derive(Clone, Copy)]
 pub struct LinkFaults {
-    /// Probability that a datagram is lost between callers and hosts and among hosts.
+    /// Probability that a datagram between a caller and a host or between two hosts is lost.
     pub loss: f64,
-    /// Probability that one is lost between hosts and upstreams.
+    /// Probability that a datagram between a host and an upstream is lost.
     pub upstream_loss: f64,
-    /// Probability that one arrives twice; never on the way to an upstream.
+    /// Probability that a datagram is duplicated; not applied to datagrams to an upstream.
     pub duplication: f64,
-    /// Longest delay in milliseconds.
+    /// Maximum delay in milliseconds.
     pub delay: u64,
 }
 
 /// A network without faults.
-pub const CALM_LINKS: LinkFaults = LinkFaults {
+pub const FAULTLESS_LINKS: LinkFaults = LinkFaults {
     loss: 0.0,
     upstream_loss: 0.0,
     duplication: 0.0,
     delay: 10,
 };
 
-/// The cell.
-pub struct FakeCell {
+/// The simulated group.
+pub struct FakeGroup {
     /// Virtual time in milliseconds.
     pub time: u64,
-    /// Source of every random choice.
-    pub random: StdRng,
-    /// Present state of the network.
+    /// Source of all random choices.
+    pub rng: StdRng,
+    /// Current faults of the network.
     pub faults: LinkFaults,
-    /// Hosts that are cut off from the others, but not from callers and upstreams.
-    pub cut_off: Vec<HostId>,
+    /// Hosts that are partitioned from the other hosts, but not from callers and upstreams.
+    pub partitioned: Vec<HostId>,
     /// The hosts.
     pub hosts: Vec<FakeHost>,
     /// The requests, by number.
     pub requests: BTreeMap<u64, FakeRequest>,
     /// Probability that an upstream sheds a request.
     pub shed: f64,
-    /// Probability that a host freezes between its decision and the sending.
-    pub late_send: f64,
-    /// Lists that hosts will learn of: when, which host, which list.
-    pub lagging: Vec<(u64, usize, Arc<HostView>)>,
-    /// Whether the published list changes.
+    /// Probability that a host freezes between deciding on actions and sending them.
+    pub send_stall_probability: f64,
+    /// Host lists that have not reached their host yet: arrival time, index of the host, and list.
+    pub pending_lists: Vec<(u64, usize, Arc<HostView>)>,
+    /// Whether the published host list changes during the run.
     pub changes_lists: bool,
-    /// Encoded bytes of heartbeats that host 1 sent.
+    /// Encoded bytes of the heartbeats that host 1 has sent.
     pub heartbeat_bytes: usize,
     published: PublishedConfig,
-    /// Incarnation of each upstream's process.
+    /// Generation of each upstream's process.
     pub(crate) upstreams: Vec<u64>,
     pub(crate) config: Arc<ConfigSnapshot>,
-    pub(crate) flying: BTreeMap<(u64, u64), Delivery>,
+    pub(crate) in_flight: BTreeMap<(u64, u64), Delivery>,
     pub(crate) next_delivery: u64,
     pub(crate) running: BTreeMap<(u32, u64), u64>,
     pub(crate) cancelled: Vec<(u32, RoutingTag)>,
     pub(crate) epoch: Instant,
 }
 
-impl FakeCell {
-    /// A cell of `hosts` hosts that have just started and know their list.
+impl FakeGroup {
+    /// Creates a group of `hosts` hosts that have just started and have the host list.
     pub fn new(seed: u64, hosts: u32) -> Self {
-        let mut cell = Self {
+        let mut group = Self {
             time: 0,
-            random: StdRng::seed_from_u64(seed),
-            faults: CALM_LINKS,
-            cut_off: Vec::new(),
+            rng: StdRng::seed_from_u64(seed),
+            faults: FAULTLESS_LINKS,
+            partitioned: Vec::new(),
             hosts: Vec::new(),
             requests: BTreeMap::new(),
             shed: 0.0,
-            late_send: 0.0,
-            lagging: Vec::new(),
+            send_stall_probability: 0.0,
+            pending_lists: Vec::new(),
             changes_lists: false,
             heartbeat_bytes: 0,
             published: ledger_config(1, UPSTREAMS),
             upstreams: vec![0; UPSTREAMS as usize],
             config: Arc::new(ledger_config(1, UPSTREAMS).compile().unwrap()),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_delivery: 0,
             running: BTreeMap::new(),
             cancelled: Vec::new(),
@@ -176,23 +178,23 @@
         };
         let members: Vec<HostId> = (1..=hosts).collect();
         for id in &members {
-            cell.add_host(*id, &host_view(&members));
+            group.add_host(*id, &host_view(&members));
         }
-        cell
+        group
     }
 
     /// Adds a host whose process starts now.
     pub fn add_host(&mut self, id: HostId, view: &Arc<HostView>) {
-        let offset = Duration::from_millis(self.random.random_range(0..10_000));
+        let offset = Duration::from_millis(self.rng.random_range(0..10_000));
         self.hosts.push(FakeHost {
             id,
             core: None,
             incarnation: 0,
             last_heartbeat: 0,
             member_set: 0,
-            hold_next: None,
-            base: self.epoch + offset,
-            rate: self.random.random_range(0.98..1.02),
+            next_send_delay: None,
+            clock_base: self.epoch + offset,
+            clock_rate: self.rng.random_range(0.98..1.02),
             frozen_until: 0,
             inbox: Vec::new(),
             view: Arc::clone(view),
@@ -202,7 +204,7 @@
         self.start(self.hosts.len() - 1);
     }
 
-    /// Starts a new process of a host; a former one ends without a word.
+    /// Starts a new process of a host. A process that is still running ends without a message.
     pub fn start(&mut self, index: usize) {
         let now = self.local_time(index);
         let config = Arc::clone(&self.config);
@@ -231,7 +233,8 @@
         self.hosts[index].core = None;
     }
 
-    /// Publishes that an upstream drains or is back; hosts learn of it one by one.
+    /// Publishes that an upstream is draining, or active again. Each host receives the
+    /// configuration at a time of its own.
     pub fn toggle_upstream(&mut self, index: usize) {
         let doc = &mut self.published.upstreams[index];
         doc.state = match doc.state {
@@ -241,7 +244,7 @@
         self.publish();
     }
 
-    /// Ends an upstream's process; another one starts at its address, and is published.
+    /// Replaces an upstream's process by another one at the same address, and publishes the change.
     pub fn replace_upstream(&mut self, index: usize) {
         self.upstreams[index] += 1;
         self.running
@@ -255,14 +258,14 @@
         self.config = Arc::new(self.published.compile().unwrap());
         for host in &self.hosts {
             let delivery = Delivery::Host(host.id, HostEvent::Config(Arc::clone(&self.config)));
-            let lag = self.random.random_range(0..4_000);
+            let lag = self.rng.random_range(0..4_000);
             self.next_delivery += 1;
-            self.flying
+            self.in_flight
                 .insert((self.time + lag, self.next_delivery), delivery);
         }
     }
 
-    /// Asks a host to stop.
+    /// Tells a host to drain.
     pub fn drain(&mut self, index: usize) {
         if self.hosts[index].core.is_some() {
             self.hosts[index].draining = true;
@@ -276,13 +279,14 @@
         self.feed(index, HostEvent::Hosts(Arc::clone(view)));
     }
 
-    /// What a host's clock shows.
+    /// Returns what a host's clock shows.
     pub fn local_time(&self, index: usize) -> Instant {
         let host = &self.hosts[index];
-        host.base + Duration::from_micros((self.time as f64 * 1_000.0 * host.rate) as u64)
+        host.clock_base
+            + Duration::from_micros((self.time as f64 * 1_000.0 * host.clock_rate) as u64)
     }
 
-    /// Hands an event to a host, or to its inbox while it is frozen.
+    /// Passes an event to a host, or queues it in the host's inbox while the host is frozen.
     pub fn feed(&mut self, index: usize, event: HostEvent) {
         let now = self.local_time(index);
         let host = &mut self.hosts[index];
@@ -295,28 +299,28 @@
         }
         let mut actions = Vec::new();
         core.handle(now, event, &mut actions);
-        let mut held_back = 0;
-        if self.late_send > 0.0 && self.random.random_bool(self.late_send) {
-            held_back = self.random.random_range(100..4_000);
-            self.hosts[index].frozen_until = self.time + held_back;
+        let mut send_delay = 0;
+        if self.send_stall_probability > 0.0 && self.rng.random_bool(self.send_stall_probability) {
+            send_delay = self.rng.random_range(100..4_000);
+            self.hosts[index].frozen_until = self.time + send_delay;
         }
         let forwards = actions.iter().any(|action| {
             matches!(action, HostAction::ToPeer { frame, .. }
                 if matches!(frame.body, PeerBody::FromCaller { .. }))
         });
-        if forwards && let Some(hold) = self.hosts[index].hold_next.take() {
-            held_back = hold;
+        if forwards && let Some(hold) = self.hosts[index].next_send_delay.take() {
+            send_delay = hold;
         }
         for action in actions {
-            self.carry_out(index, action, held_back);
+            self.execute(index, action, send_delay);
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: HostAction, held_back: u64) {
+    fn execute(&mut self, index: usize, action: HostAction, send_delay: u64) {
         let id = self.hosts[index].id;
         match action {
             HostAction::ToCaller { frame, .. } => {
-                self.send(Delivery::Caller(frame), held_back, true);
+                self.send(Delivery::Caller(frame), send_delay, true);
             }
             HostAction::ToPeer { host, frame, .. } => {
                 if id == 1 && matches!(frame.body, PeerBody::Heartbeat(_)) {
@@ -327,21 +331,21 @@
                     self.hosts[index].last_heartbeat = heartbeat.number;
                     self.hosts[index].member_set = heartbeat.member_set;
                 }
-                if self.cut_off.contains(&id) == self.cut_off.contains(&host) {
+                if self.partitioned.contains(&id) == self.partitioned.contains(&host) {
                     let event = HostEvent::PeerFrame(frame);
-                    self.send(Delivery::Host(host, event), held_back, true);
+                    self.send(Delivery::Host(host, event), send_delay, true);
                 }
             }
             HostAction::ToUpstream { frame, .. } => {
                 let upstream = frame.tag.upstream;
-                self.send(Delivery::Upstream(upstream, frame), held_back, false);
+                self.send(Delivery::Upstream(upstream, frame), send_delay, false);
             }
             HostAction::Count(_) | HostAction::CountRetry(_) => {}
             HostAction::Drained => self.hosts[index].drained = true,
         }
     }
 
-    pub(crate) fn send(&mut self, delivery: Delivery, held_back: u64, may_repeat: bool) {
+    pub(crate) fn send(&mut self, delivery: Delivery, send_delay: u64, may_duplicate: bool) {
         let is_upstream = match &delivery {
             Delivery::Upstream(..) | Delivery::Host(_, HostEvent::UpstreamFrame { .. }) => true,
             Delivery::Host(..) | Delivery::Caller(_) => false,
@@ -350,32 +354,32 @@
             true => self.faults.upstream_loss,
             false => self.faults.loss,
         };
-        if self.random.random_bool(loss) {
+        if self.rng.random_bool(loss) {
             return;
         }
-        let repeats = may_repeat && self.random.random_bool(self.faults.duplication);
-        if repeats && let Some(copy) = copy_of(&delivery) {
-            self.schedule(copy, held_back);
+        let is_duplicated = may_duplicate && self.rng.random_bool(self.faults.duplication);
+        if is_duplicated && let Some(copy) = copy_of(&delivery) {
+            self.schedule(copy, send_delay);
         }
-        self.schedule(delivery, held_back);
+        self.schedule(delivery, send_delay);
     }
 
-    pub(crate) fn schedule(&mut self, delivery: Delivery, held_back: u64) {
-        let delay = self.random.random_range(1..=self.faults.delay);
-        self.schedule_at(self.time + held_back + delay, delivery);
+    pub(crate) fn schedule(&mut self, delivery: Delivery, send_delay: u64) {
+        let delay = self.rng.random_range(1..=self.faults.delay);
+        self.schedule_at(self.time + send_delay + delay, delivery);
     }
 
     pub(crate) fn schedule_at(&mut self, time: u64, delivery: Delivery) {
         self.next_delivery += 1;
-        self.flying.insert((time, self.next_delivery), delivery);
+        self.in_flight.insert((time, self.next_delivery), delivery);
     }
 
-    /// Lets one step of virtual time pass.
+    /// Advances virtual time by one step.
     pub fn step(&mut self) {
         self.time += STEP;
         let time = self.time;
         let due: Vec<_> = self
-            .lagging
+            .pending_lists
             .extract_if(.., |(at, ..)| *at <= time)
             .collect();
         for (_at, index, view) in due {
@@ -397,7 +401,7 @@
     }
 
     fn next_due(&mut self) -> Option<Delivery> {
-        let entry = self.flying.first_entry()?;
+        let entry = self.in_flight.first_entry()?;
         (entry.key().0 <= self.time).then(|| entry.remove())
     }
 
@@ -409,14 +413,15 @@
                 }
             }
             Delivery::Upstream(id, frame) => self.run_upstream(id, &frame),
-            Delivery::Caller(frame) => self.take_reply(&frame),
+            Delivery::Caller(frame) => self.handle_reply(&frame),
         }
     }
 
-    /// The hosts that may act on a flow at this instant, frozen ones by their own clocks.
-    pub fn acting(&self, flow: u64) -> Vec<HostId> {
+    /// Returns the hosts that may accept non-idempotent requests of a flow now. A frozen host is
+    /// evaluated by its own clock.
+    pub fn accepting_hosts(&self, flow: u64) -> Vec<HostId> {
         let hasher = FlowHasher::new(FLOW_KEY);
-        let digest = hasher.digest(ledger_address(), caller_of(flow), flow);
+        let digest = hasher.digest(ledger_address(), flow_caller(flow), flow);
         let acts = |index: &usize| {
             let core = self.hosts[*index].core.as_ref();
             core.is_some_and(|core| core.acts_since(self.local_time(*index), digest).is_some())
@@ -425,7 +430,8 @@
         indexes.map(|index| self.hosts[index].id).collect()
     }
 
-    /// Fails if the reference model contradicts what callers were told.
+    /// Panics if the outcomes that callers received contradict the reference model, or if two hosts
+    /// may accept requests of the same flow.
     pub fn check(&self, seed: u64) {
         for (number, request) in &self.requests {
             if request.idempotent {
@@ -434,20 +440,26 @@
             let runs = request.runs;
             assert!(runs <= 1, "seed {seed}: request {number} ran {runs} times");
             let denied = request.refusals.contains(&RunOutcome::NotRun);
-            assert!(!denied || runs == 0, "seed {seed}: {number} ran, told not");
+            assert!(
+                !denied || runs == 0,
+                "seed {seed}: request {number} ran, but its caller was told that it did not"
+            );
         }
         for flow in 0..FLOWS {
-            let acting = self.acting(flow);
-            assert!(acting.len() <= 1, "seed {seed}: {acting:?} act at once");
+            let accepting_hosts = self.accepting_hosts(flow);
+            assert!(
+                accepting_hosts.len() <= 1,
+                "seed {seed}: {accepting_hosts:?} may accept requests of flow {flow}"
+            );
         }
     }
 }
 
-/// Flows that requests belong to.
+/// Number of flows that requests are spread over.
 pub const FLOWS: u64 = 6;
 
-/// The caller of a flow.
-pub fn caller_of(flow: u64) -> SocketAddr {
+/// Returns the caller of a flow.
+pub fn flow_caller(flow: u64) -> SocketAddr {
     ([127, 0, 0, 1], 9_000 + flow as u16).into()
 }
 
--- a/lib/tests/flow_net.rs
+++ b/lib/tests/flow_net.rs
@@ -1,5 +1,5 @@
-//! A few hosts joined by a network without faults in virtual time, with upstreams that note which
-//! flows were opened on them and whose requests reached them.
+//! A simulated group of hosts on a network without faults, in virtual time, with upstreams that
+//! record which flows were opened on them and which requests they received.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,38 +30,38 @@
 use crate::world::ledger_address;
 use crate::world::transfer;
 
-/// Time between two ticks, and one way between any two processes.
+/// Time between two ticks, and delay between any two processes.
 const STEP: Duration = Duration::from_millis(20);
 
-/// The hosts and what upstreams and callers have seen.
+/// The hosts, and what upstreams and callers have received.
 pub struct FlowNet {
     now: Instant,
     hosts: BTreeMap<HostId, HostCore>,
     members: Vec<HostId>,
     config: Arc<ConfigSnapshot>,
-    flying: Vec<(HostId, HostEvent)>,
+    in_flight: Vec<(HostId, HostEvent)>,
     incarnation: u64,
     entry: usize,
     next_request: u64,
-    /// The upstream that each flow was first opened on.
+    /// The upstream on which each flow was first opened.
     pub opened: BTreeMap<u64, UpstreamId>,
     /// Flow and upstream of each request that reached an upstream.
     pub runs: Vec<(u64, UpstreamId)>,
-    /// Refusals that callers got.
+    /// Flow and code of each refusal that a caller received.
     pub refusals: Vec<(u64, ResultCode)>,
-    /// Hosts that have reported a drain as complete.
+    /// Hosts that have reported their drain as complete.
     pub drained: Vec<HostId>,
 }
 
 impl FlowNet {
-    /// Hosts that have just started, after the time that their claims take.
+    /// Starts the hosts and runs them until they hold their leases.
     pub fn new(hosts: u32, config: &PublishedConfig) -> Self {
         let mut net = Self {
             now: Instant::now(),
             hosts: BTreeMap::new(),
             members: (1..=hosts).collect(),
             config: Arc::new(config.compile().expect("a valid configuration")),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             incarnation: 0,
             entry: 0,
             next_request: 0,
@@ -77,7 +77,7 @@
         net
     }
 
-    /// Starts a process of a host.
+    /// Starts a new process of a host.
     pub fn start(&mut self, host: HostId) {
         self.incarnation += 1;
         let settings = CoreSettings {
@@ -94,12 +94,12 @@
         self.feed(host, HostEvent::Hosts(host_view(&self.members)));
     }
 
-    /// Ends a host's process without a word.
+    /// Ends a host's process without notifying its peers.
     pub fn crash(&mut self, host: HostId) {
         self.hosts.remove(&host);
     }
 
-    /// Asks a host to stop, waits until it has, and ends it.
+    /// Drains a host and ends its process once the drain is complete.
     pub fn leave(&mut self, host: HostId) {
         self.feed(host, HostEvent::Drain);
         for _step in 0..3_000 {
@@ -113,7 +113,7 @@
         self.crash(host);
     }
 
-    /// Puts a configuration in force everywhere.
+    /// Applies a configuration on all hosts.
     pub fn publish(&mut self, config: &PublishedConfig) {
         self.config = Arc::new(config.compile().expect("a valid configuration"));
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
@@ -122,23 +122,23 @@
         }
     }
 
-    /// A caller opens a flow through any host.
+    /// Opens a flow through the next host in turn.
     pub fn open(&mut self, flow: u64) {
-        self.spray(flow, CallerBody::Open);
+        self.send_through_next_host(flow, CallerBody::Open);
     }
 
-    /// A caller sends a request of a flow that was opened, through any host.
-    pub fn ask(&mut self, flow: u64, idempotent: bool) {
+    /// Sends a request of an established flow through the next host in turn.
+    pub fn send_request(&mut self, flow: u64, idempotent: bool) {
         self.next_request += 1;
         let body = RequestBody {
             established: true,
             idempotent,
             ..transfer(self.next_request)
         };
-        self.spray(flow, CallerBody::Request(body));
+        self.send_through_next_host(flow, CallerBody::Request(body));
     }
 
-    /// Lets time pass.
+    /// Advances the time in steps.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -146,15 +146,15 @@
         }
     }
 
-    /// The requests that reached another upstream than their flow's, with that one.
-    pub fn strays(&self) -> Vec<(u64, UpstreamId)> {
-        let is_stray = |run: &&(u64, UpstreamId)| self.opened.get(&run.0) != Some(&run.1);
-        self.runs.iter().filter(is_stray).copied().collect()
+    /// Returns the requests that reached another upstream than the one their flow was opened on.
+    pub fn misrouted_requests(&self) -> Vec<(u64, UpstreamId)> {
+        let is_misrouted = |run: &&(u64, UpstreamId)| self.opened.get(&run.0) != Some(&run.1);
+        self.runs.iter().filter(is_misrouted).copied().collect()
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        for (host, event) in std::mem::take(&mut self.flying) {
+        for (host, event) in std::mem::take(&mut self.in_flight) {
             self.feed(host, event);
         }
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
@@ -163,7 +163,7 @@
         }
     }
 
-    fn spray(&mut self, flow: u64, body: CallerBody) {
+    fn send_through_next_host(&mut self, flow: u64, body: CallerBody) {
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
         self.entry += 1;
         let frame = CallerFrame {
@@ -184,14 +184,14 @@
             core.handle(self.now, event, &mut actions);
         }
         for action in actions {
-            self.carry_out(host, action);
+            self.apply_action(host, action);
         }
     }
 
-    fn carry_out(&mut self, from: HostId, action: HostAction) {
+    fn apply_action(&mut self, from: HostId, action: HostAction) {
         match action {
             HostAction::ToPeer { host, frame, .. } => {
-                self.flying.push((host, HostEvent::PeerFrame(frame)));
+                self.in_flight.push((host, HostEvent::PeerFrame(frame)));
             }
             HostAction::ToUpstream { address, frame } => match frame.body {
                 UpstreamBody::Open => {
@@ -204,7 +204,7 @@
                         source: address,
                         frame: answer(frame.tag),
                     };
-                    self.flying.push((from, event));
+                    self.in_flight.push((from, event));
                 }
                 _ => {}
             },
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -1,11 +1,10 @@
 //! The tests of the decisions, in one program so that linking is fast.
 
-mod fake_cell;
-mod fake_cell_ends;
+mod deferred_policy;
+mod fake_endpoints;
+mod fake_group;
 mod flow_net;
-mod late_policy;
 mod test_byte_budget;
-mod test_choice_tree;
 mod test_config_check;
 mod test_config_store;
 mod test_control_core;
@@ -18,8 +17,8 @@
 mod test_invariants;
 mod test_key_version;
 mod test_label_selector;
-mod test_load_parts;
-mod test_load_stories;
+mod test_load_modules;
+mod test_load_scenarios;
 mod test_placement_table;
 mod test_planned_change;
 mod test_reader_rank;
@@ -29,5 +28,6 @@
 mod test_service_policy;
 mod test_snapshot_compiler;
 mod test_takeover;
+mod test_tournament_tree;
 mod test_wire_frame;
 mod world;
--- a/lib/tests/test_flow_net.rs
+++ b/lib/tests/test_flow_net.rs
@@ -1,4 +1,5 @@
-//! Tests of flows over several hosts through the door: each stays on its upstream.
+//! Tests that flows stay on their upstreams in a group of several hosts, through the public
+//! interface of the host core.
 
 use std::time::Duration;
 
@@ -10,28 +11,28 @@
 const HOSTS: u32 = 4;
 const UPSTREAMS: u32 = 6;
 const FLOWS: u64 = 120;
-/// Time for heartbeats, walks and copies after a change.
-const SETTLE: Duration = Duration::from_secs(12);
+/// Time for heartbeats, sweeps and copies after a change.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
 
-fn opened_net() -> FlowNet {
+fn net_with_open_flows() -> FlowNet {
     let mut net = FlowNet::new(HOSTS, &ledger_config(1, UPSTREAMS));
     for flow in 0..FLOWS {
         net.open(flow);
         net.run(Duration::from_millis(20));
     }
-    net.run(SETTLE);
+    net.run(SETTLE_TIME);
     assert_eq!(net.opened.len(), FLOWS as usize);
     net
 }
 
-/// Each flow sends a request that may run twice and one that may not.
-fn ask_all(net: &mut FlowNet) {
+/// Sends two requests on each flow, one that may run twice and one that may not.
+fn request_on_all_flows(net: &mut FlowNet) {
     net.runs.clear();
     net.refusals.clear();
     for flow in 0..FLOWS {
-        net.ask(flow, true);
+        net.send_request(flow, true);
         net.run(Duration::from_millis(20));
-        net.ask(flow, false);
+        net.send_request(flow, false);
         net.run(Duration::from_millis(20));
     }
     net.run(Duration::from_secs(2));
@@ -39,17 +40,16 @@
 
 #[test]
 fn test_flows_stay_through_a_rolling_restart_with_drains() {
-    // Inspectors' sessions break during an evening's work: upstreams are drained and removed while
-    // the entry hosts are restarted one after the other, and each host that comes back places the
-    // sessions it does not remember by the newer configuration.
-    let mut net = opened_net();
+    // Sessions break when upstreams are drained and removed during a rolling restart of the entry
+    // hosts: a restarted host has no records and places the sessions by the newer configuration.
+    let mut net = net_with_open_flows();
     let mut config = ledger_config(2, UPSTREAMS);
     config.upstreams[2].state = UpstreamState::Draining;
     net.publish(&config);
     for host in 1..=HOSTS {
         net.leave(host);
         net.start(host);
-        net.run(SETTLE);
+        net.run(SETTLE_TIME);
         if host == 2 {
             let mut config = ledger_config(3, UPSTREAMS + 1);
             config.upstreams[4].state = UpstreamState::Draining;
@@ -57,25 +57,25 @@
             net.publish(&config);
         }
     }
-    ask_all(&mut net);
-    assert_eq!(net.strays(), vec![]);
+    request_on_all_flows(&mut net);
+    assert_eq!(net.misrouted_requests(), vec![]);
     assert_eq!(net.refusals, vec![]);
     assert_eq!(net.runs.len(), 2 * FLOWS as usize);
 }
 
 #[test]
 fn test_flows_stay_when_a_host_crashes_after_a_change() {
-    // A door stream breaks as the host that held it dies: the next one derives another upstream
-    // from a selector change that its former owner had placed no flow by yet.
-    let mut net = opened_net();
+    // Sessions break when their host dies right after a configuration change: its successor derives
+    // the upstream from the new configuration, by which the host had placed no flow yet.
+    let mut net = net_with_open_flows();
     let mut config = ledger_config(2, UPSTREAMS + 2);
     config.upstreams[1].state = UpstreamState::Draining;
     net.publish(&config);
     net.run(Duration::from_millis(100));
     net.crash(3);
-    net.run(SETTLE);
-    ask_all(&mut net);
-    assert_eq!(net.strays(), vec![]);
+    net.run(SETTLE_TIME);
+    request_on_all_flows(&mut net);
+    assert_eq!(net.misrouted_requests(), vec![]);
     assert_eq!(net.refusals, vec![]);
     assert_eq!(net.runs.len(), 2 * FLOWS as usize);
 }
--- a/lib/tests/test_flow_system.rs
+++ b/lib/tests/test_flow_system.rs
@@ -1,4 +1,5 @@
-//! Tests of flows through the door: which upstream process their frames reach, one host at a time.
+//! Tests of which upstream process the frames of flows reach, on a single host through the public
+//! interface of the host core.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 use lagoonproxy::wire_frame::UpstreamBody;
 use lagoonproxy::wire_frame::UpstreamFrame;
 
-use crate::late_policy::LatePolicy;
+use crate::deferred_policy::DeferredPolicy;
 use crate::world::caller_address;
 use crate::world::ledger_address;
 use crate::world::ledger_config;
@@ -43,15 +44,15 @@
     }
 }
 
-/// A host, its time, and the configuration it was last given.
-struct FlowHost {
+/// A host, its virtual time and its last configuration.
+struct SingleHost {
     core: HostCore,
     now: Instant,
     config: PublishedConfig,
     next_request: u64,
 }
 
-impl FlowHost {
+impl SingleHost {
     fn new() -> Self {
         let now = Instant::now();
         Self::of(now, lone_core(now, UPSTREAMS))
@@ -72,10 +73,10 @@
         change(&mut self.config);
         self.config.version += 1;
         let config = self.config.compile().expect("a valid configuration");
-        self.take(HostEvent::Config(Arc::new(config)));
+        self.handle_event(HostEvent::Config(Arc::new(config)));
     }
 
-    fn take(&mut self, event: HostEvent) -> Vec<HostAction> {
+    fn handle_event(&mut self, event: HostEvent) -> Vec<HostAction> {
         let mut actions = Vec::new();
         self.core.handle(self.now, event, &mut actions);
         actions
@@ -85,7 +86,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += Duration::from_millis(500).min(end - self.now);
-            self.take(HostEvent::Tick);
+            self.handle_event(HostEvent::Tick);
         }
     }
 
@@ -95,7 +96,7 @@
             flow,
             body,
         };
-        self.take(HostEvent::CallerFrame {
+        self.handle_event(HostEvent::CallerFrame {
             caller: caller_address(),
             frame,
         })
@@ -111,7 +112,12 @@
         frame.tag.upstream
     }
 
-    fn ask(&mut self, service: SocketAddr, flow: u64, established: bool) -> Vec<HostAction> {
+    fn send_request(
+        &mut self,
+        service: SocketAddr,
+        flow: u64,
+        established: bool,
+    ) -> Vec<HostAction> {
         self.next_request += 1;
         let body = RequestBody {
             established,
@@ -140,8 +146,8 @@
     })
 }
 
-/// Opens flows and returns those that upstream 1 holds.
-fn flows_of_first(host: &mut FlowHost) -> Vec<u64> {
+/// Opens flows and returns those on upstream 1.
+fn open_flows_on_first(host: &mut SingleHost) -> Vec<u64> {
     let held = |flow: &u64| host.open(ledger_address(), *flow) == 1;
     let flows: Vec<u64> = (0..FLOWS).filter(held).collect();
     assert!(!flows.is_empty());
@@ -150,55 +156,56 @@
 
 #[test]
 fn test_relabelled_upstream_keeps_old_flows_and_gets_no_other() {
-    // A lock's frame reaches the portal: an operator gives an upstream of the desk to the portal
-    // while door streams run on it. The streams stay where they were opened; from then on the
-    // upstream gets no other frame of the desk, and the portal's get nowhere else.
-    let mut host = FlowHost::new();
-    let old = flows_of_first(&mut host);
+    // Frames reach the wrong service when an operator relabels an upstream of the ledger service
+    // for the portal service while flows are open on it. Open flows must stay where they were
+    // opened. From then on, the upstream must get no other frames of the ledger, and the portal's
+    // frames must reach no other upstream.
+    let mut host = SingleHost::new();
+    let old = open_flows_on_first(&mut host);
     host.publish(|config| {
         let upstream = &mut config.upstreams[1];
         upstream.labels = [("service".into(), "portal".into())].into();
     });
     for flow in old {
-        let sent = sent_upstream(&host.ask(ledger_address(), flow, true));
+        let sent = sent_upstream(&host.send_request(ledger_address(), flow, true));
         assert_eq!(sent[0].0, upstream_address(1));
         assert_eq!(sent[0].1.tag.service, ledger_address());
     }
     for flow in FLOWS..2 * FLOWS {
         assert_ne!(host.open(ledger_address(), flow), 1);
         assert_eq!(host.open(portal_address(), flow), 1);
-        let free = sent_upstream(&host.ask(ledger_address(), 1_000 + flow, false));
+        let free = sent_upstream(&host.send_request(ledger_address(), 1_000 + flow, false));
         assert_ne!(free[0].1.tag.upstream, 1);
     }
 }
 
 #[test]
-fn test_job_that_waited_is_not_sent_to_a_relabelled_upstream() {
-    // A packet for the ledger reaches the certificate service: a request is promised an upstream,
-    // waits for its slot, and the upstream is given to the other service before it goes out.
+fn test_waiting_request_is_not_sent_to_a_relabelled_upstream() {
+    // A request reaches the wrong service when its upstream is chosen, it waits for a slot, and the
+    // upstream is assigned to another service before the request is sent.
     let now = Instant::now();
-    let policy = LatePolicy {
+    let policy = DeferredPolicy {
         upstream: 1,
         waiting: Vec::new(),
     };
-    let mut host = FlowHost::of(now, lone_core_with(now, UPSTREAMS, Box::new(policy)));
-    host.ask(ledger_address(), 1, false);
-    let sent = sent_upstream(&host.take(HostEvent::Tick));
+    let mut host = SingleHost::of(now, lone_core_with(now, UPSTREAMS, Box::new(policy)));
+    host.send_request(ledger_address(), 1, false);
+    let sent = sent_upstream(&host.handle_event(HostEvent::Tick));
     assert_eq!(sent[0].1.tag.upstream, 1);
-    host.ask(ledger_address(), 2, false);
+    host.send_request(ledger_address(), 2, false);
     host.publish(|config| {
         let upstream = &mut config.upstreams[1];
         upstream.labels = [("service".into(), "portal".into())].into();
     });
-    let actions = host.take(HostEvent::Tick);
+    let actions = host.handle_event(HostEvent::Tick);
     assert_eq!(sent_upstream(&actions), vec![]);
     assert_eq!(refused_with(&actions), Some(ResultCode::NoUpstream));
 }
 
 #[test]
 fn test_reused_address_ends_the_flows_of_its_former_process() {
-    // A custody record is written by the wrong process: an upstream died and its address was given
-    // to a new one, which gets the frames of sessions that it never opened.
+    // Frames reach the wrong process when an upstream has died and its address is assigned to a new
+    // process, which receives frames of flows that were never opened on it.
     struct ReuseCase {
         name: &'static str,
         change: fn(&mut PublishedConfig),
@@ -214,11 +221,11 @@
         },
     ];
     for case in cases {
-        let mut host = FlowHost::new();
-        let old = flows_of_first(&mut host);
+        let mut host = SingleHost::new();
+        let old = open_flows_on_first(&mut host);
         host.publish(case.change);
         for flow in old {
-            let actions = host.ask(ledger_address(), flow, true);
+            let actions = host.send_request(ledger_address(), flow, true);
             assert_eq!(sent_upstream(&actions), vec![], "{}", case.name);
             let code = refused_with(&actions);
             assert_eq!(code, Some(ResultCode::FlowUnknown), "{}", case.name);
@@ -228,21 +235,22 @@
 
 #[test]
 fn test_removed_upstream_keeps_its_flows_until_its_address_is_reused() {
-    // Sessions break as an operator removes a drained upstream from the list before its last flows
-    // have closed. They go on at its last address, until that belongs to somebody else.
-    let mut host = FlowHost::new();
-    let old = flows_of_first(&mut host);
+    // Flows break when an operator removes a drained upstream from the configuration before its
+    // last flows have closed. They must continue at its last address until another upstream has
+    // that address.
+    let mut host = SingleHost::new();
+    let old = open_flows_on_first(&mut host);
     host.publish(|config| config.upstreams[1].state = UpstreamState::Draining);
     host.publish(|config| {
         config.upstreams.remove(1);
     });
     for flow in &old {
-        let sent = sent_upstream(&host.ask(ledger_address(), *flow, true));
+        let sent = sent_upstream(&host.send_request(ledger_address(), *flow, true));
         assert_eq!(sent[0].0, upstream_address(1));
     }
     host.publish(|config| config.upstreams[1].address = upstream_address(1));
     for flow in &old {
-        let actions = host.ask(ledger_address(), *flow, true);
+        let actions = host.send_request(ledger_address(), *flow, true);
         assert_eq!(sent_upstream(&actions), vec![]);
         assert_eq!(refused_with(&actions), Some(ResultCode::FlowUnknown));
     }
@@ -250,16 +258,16 @@
 
 #[test]
 fn test_address_of_service_given_to_another_ends_its_flows() {
-    // A packet for the ledger reaches the certificate service: the ledger's address is published
-    // for the other service, and a session that was opened before goes on.
-    let mut host = FlowHost::new();
-    let old = flows_of_first(&mut host);
+    // Frames reach the wrong service when the ledger's address is published for another service and
+    // a flow that was opened before continues.
+    let mut host = SingleHost::new();
+    let old = open_flows_on_first(&mut host);
     host.publish(|config| {
         config.services[0].address = portal_address();
         config.services[1].address = ledger_address();
     });
     for flow in old {
-        let actions = host.ask(ledger_address(), flow, true);
+        let actions = host.send_request(ledger_address(), flow, true);
         assert_eq!(sent_upstream(&actions), vec![]);
         assert_eq!(refused_with(&actions), Some(ResultCode::FlowUnknown));
     }
@@ -267,7 +275,7 @@
 
 #[test]
 fn test_many_upstreams_drain_at_once() {
-    let mut host = FlowHost::new();
+    let mut host = SingleHost::new();
     let places: Vec<u32> = (0..FLOWS)
         .map(|flow| host.open(ledger_address(), flow))
         .collect();
@@ -277,7 +285,7 @@
         }
     });
     for (flow, place) in places.into_iter().enumerate() {
-        let sent = sent_upstream(&host.ask(ledger_address(), flow as u64, true));
+        let sent = sent_upstream(&host.send_request(ledger_address(), flow as u64, true));
         assert_eq!(sent[0].1.tag.upstream, place);
     }
     for flow in FLOWS..2 * FLOWS {
@@ -287,11 +295,11 @@
 
 #[test]
 fn test_request_before_its_open_reaches_the_same_upstream() {
-    // The fabric delivers a session's first request before its `Open`: the two are placed apart, or
-    // the upstream never hears of the flow.
-    let mut host = FlowHost::new();
+    // The network delivers the first request of a flow before its `Open`: the two are placed on
+    // different upstreams, or the upstream never learns of the flow.
+    let mut host = SingleHost::new();
     for flow in 0..FLOWS {
-        let early = sent_upstream(&host.ask(ledger_address(), flow, true));
+        let early = sent_upstream(&host.send_request(ledger_address(), flow, true));
         let upstream = host.open(ledger_address(), flow);
         assert_eq!(early[0].1.tag.upstream, upstream);
         let again = host.open(ledger_address(), flow);
@@ -301,15 +309,15 @@
 
 #[test]
 fn test_silent_flow_stays_until_it_is_idle() {
-    let mut host = FlowHost::new();
-    let old = flows_of_first(&mut host);
+    let mut host = SingleHost::new();
+    let old = open_flows_on_first(&mut host);
     host.publish(|config| config.upstreams[1].state = UpstreamState::Draining);
     host.wait(Duration::from_secs(3_500));
-    let sent = sent_upstream(&host.ask(ledger_address(), old[0], true));
+    let sent = sent_upstream(&host.send_request(ledger_address(), old[0], true));
     assert_eq!(sent[0].1.tag.upstream, 1);
     assert_eq!(host.core.flow_count(), FLOWS as usize);
     host.wait(Duration::from_secs(3_000));
     assert_eq!(host.core.flow_count(), 1);
-    let sent = sent_upstream(&host.ask(ledger_address(), old[0], true));
+    let sent = sent_upstream(&host.send_request(ledger_address(), old[0], true));
     assert_eq!(sent[0].1.tag.upstream, 1);
 }
--- a/lib/tests/test_flow_table.rs
+++ b/lib/tests/test_flow_table.rs
@@ -1,4 +1,5 @@
-//! Tests of the flow table: a map that stays small and never stops for long.
+//! Tests that the flow table behaves as a map, and that its memory and the work per call are
+//! bounded.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,8 +30,9 @@
 
 #[test]
 fn test_table_memory_and_pause_are_bounded_while_it_grows() {
-    // Door streams stall for a moment each time the table doubles: one insertion moves every
-    // record. Here none moves more than one segment, which holds about a thousandth of them.
+    // Flows stall each time a conventional hash table doubles, because one insertion moves every
+    // record. Here an insertion moves at most one segment, which holds about a thousandth of the
+    // records.
     let now = Instant::now();
     let mut table = FlowTable::default();
     let deadline = now + Duration::from_secs(60);
@@ -60,8 +62,8 @@
     assert_eq!(table.get(later, flow_digest(0)), None);
     assert!(table.get(later, flow_digest(1)).is_some());
     for _tick in 0..SEGMENTS {
-        let looked_at = table.expire(later);
-        assert!(looked_at <= 3 * 50_000 / SEGMENTS, "{looked_at} in a tick");
+        let examined = table.expire(later);
+        assert!(examined <= 3 * 50_000 / SEGMENTS, "{examined} in a tick");
     }
     assert_eq!(table.len(), 25_000);
     for _tick in 0..SEGMENTS {
@@ -87,8 +89,8 @@
     assert_eq!(table.touch(extended, digest, extended), None);
 }
 
-/// Few digests in few segments, so that they collide.
-fn crowded(number: u16) -> FlowDigest {
+/// Returns one of a few adjacent digests in two segments, so that records collide.
+fn colliding_digest(number: u16) -> FlowDigest {
     let segment = FlowDigest::from(number & 1) << 127;
     segment | (FlowDigest::from(number >> 1) << 90) | FlowDigest::from(number)
 }
@@ -101,7 +103,7 @@
         let mut table = FlowTable::default();
         let mut model: BTreeMap<FlowDigest, u32> = BTreeMap::new();
         for (index, (insert, number)) in steps.into_iter().enumerate() {
-            let digest = crowded(number);
+            let digest = colliding_digest(number);
             let upstream = index as u32 % 5;
             if insert {
                 table.insert(now, digest, record(upstream, deadline));
@@ -113,15 +115,15 @@
             prop_assert_eq!(table.len(), model.len());
         }
         for number in 0..600 {
-            let found = table.get(now, crowded(number));
-            let upstream = found.map(|record| record.binding.upstream);
-            prop_assert_eq!(upstream, model.get(&crowded(number)).copied());
+            let is_covered = table.get(now, colliding_digest(number));
+            let upstream = is_covered.map(|record| record.binding.upstream);
+            prop_assert_eq!(upstream, model.get(&colliding_digest(number)).copied());
         }
-        let walked: Vec<FlowDigest> = (0..SEGMENTS)
+        let visited: Vec<FlowDigest> = (0..SEGMENTS)
             .flat_map(|segment| table.segment(segment).collect::<Vec<_>>())
             .map(|flow| flow.digest)
             .collect();
-        prop_assert_eq!(walked, model.keys().copied().collect::<Vec<_>>());
+        prop_assert_eq!(visited, model.keys().copied().collect::<Vec<_>>());
         for upstream in 0..5 {
             let count = model.values().filter(|other| **other == upstream).count();
             let binding = record(upstream, now).binding;
--- a/lib/tests/test_load_parts.rs
+++ b/lib/tests/test_load_modules.rs
@@ -1,12 +1,12 @@
-//! Tests of the small modules that decisions under load are composed of.
+//! Tests of the modules that the load policy is composed of.
 
 use std::time::Duration;
 use std::time::Instant;
 
+use lagoonproxy::allocator_map::AllocatorMap;
 use lagoonproxy::caller_usage::CallerUsage;
 use lagoonproxy::config_snapshot::UpstreamEntry;
-use lagoonproxy::home_map::HomeMap;
-use lagoonproxy::load_message::GrantEnd;
+use lagoonproxy::load_message::GrantOutcome;
 use lagoonproxy::load_settings::LoadSettings;
 use lagoonproxy::retry_budget::RetryBudget;
 use lagoonproxy::retry_hint::RetryHint;
@@ -23,9 +23,9 @@
 
 struct LimitCase {
     name: &'static str,
-    /// Jobs that ran there at each shed, and when it came, in milliseconds.
+    /// Number of other requests running at each shed, and the time of the shed in milliseconds.
     sheds: &'static [(u32, u32)],
-    /// What is allowed at a time in milliseconds.
+    /// Times in milliseconds, and the expected limit at each.
     allowed: &'static [(u32, u32)],
 }
 
@@ -33,22 +33,22 @@
 fn test_slot_limit_learns_from_sheds() {
     let cases = [
         LimitCase {
-            name: "untouched",
+            name: "no shed",
             sheds: &[],
             allowed: &[(0, 4)],
         },
         LimitCase {
-            name: "one more is tried after a pause",
+            name: "the limit is raised by one after a pause",
             sheds: &[(2, 0)],
             allowed: &[(0, 2), (99, 2), (100, 3), (300, 4)],
         },
         LimitCase {
-            name: "the pause doubles when the try fails",
+            name: "the pause doubles when the probe fails",
             sheds: &[(2, 0), (2, 110)],
             allowed: &[(120, 2), (300, 2), (320, 3)],
         },
         LimitCase {
-            name: "closed for what the upstream says when nothing of ours runs there",
+            name: "closed for the time that the upstream states when no other request runs",
             sheds: &[(0, 0)],
             allowed: &[(0, 0), (49, 0), (50, 1)],
         },
@@ -66,7 +66,7 @@
             let now = start + MILLI * millis;
             limit.tick(now, MILLI * 100);
             while let Some((others, _at)) = sheds.next_if(|(_others, at)| *at == millis) {
-                limit.shed(now, others, MILLI * 50, MILLI * 100);
+                limit.record_shed(now, others, MILLI * 50, MILLI * 100);
             }
             let expected = case.allowed.iter().find(|(at, _allowed)| *at == millis);
             if let Some((_at, allowed)) = expected {
@@ -80,7 +80,7 @@
 fn test_retry_budget_allows_a_fraction() {
     let mut budget = RetryBudget::new(0.1, 10.0);
     let mut spent = 0;
-    for _job in 0..1_000 {
+    for _request in 0..1_000 {
         budget.earn();
         spent += u32::from(budget.spend());
     }
@@ -88,8 +88,9 @@
 }
 
 #[test]
-fn test_retry_hints_are_spread() {
-    // Callers refused in one moment come back in one moment, and are refused again.
+fn test_retry_hints_have_jitter() {
+    // Callers that are refused at the same moment must not return at the same moment, because they
+    // would be refused again.
     let mut hint = RetryHint::new(5, MILLI * 50, MILLI * 10_000);
     let mut hints: Vec<Duration> = (0..100).map(|_refusal| hint.after(MILLI * 200)).collect();
     hints.sort_unstable();
@@ -104,7 +105,7 @@
     let start = Instant::now();
     let (target, interval) = (MILLI * 100, MILLI * 500);
     let mut queue = StandingQueue::default();
-    // Waits in milliseconds at times in milliseconds, and whether the bound is then in force.
+    // Times in milliseconds, waits in milliseconds, and whether the bound then applies.
     let steps = [
         (0, 150, false),
         (300, 20, false),
@@ -117,16 +118,16 @@
         (2_000, 10, false),
     ];
     for (at, wait, is_bound) in steps {
-        queue.waited(start + MILLI * at, MILLI * wait, target, interval);
-        let bound = queue.longest_wait(target);
+        queue.record_wait(start + MILLI * at, MILLI * wait, target, interval);
+        let bound = queue.max_wait(target);
         assert_eq!(bound == target, is_bound, "at {at} ms");
     }
 }
 
 #[test]
-fn test_caller_usage_tells_hot_callers() {
+fn test_caller_usage_detects_hot_callers() {
     struct UsageCase {
-        /// Milliseconds that each caller's jobs held slots in each round.
+        /// Milliseconds for which each caller's requests held slots in each round.
         held: &'static [u32],
         hot: &'static [u32],
     }
@@ -170,38 +171,42 @@
 }
 
 #[test]
-fn test_hosts_agree_on_keepers_in_the_upstreams_zone() {
-    // Two hosts give the same slot away and the upstream sheds one of the jobs: they computed
-    // different keepers from the same lists.
+fn test_hosts_agree_on_allocators_in_the_upstreams_zone() {
+    // Hosts that compute different allocators from the same lists grant the same slot twice, and
+    // the upstream sheds one of the requests.
     let plan = ClusterPlan::standard(0.0, WorkShape::Fixed, 1);
     let config = plan.config(1, &FleetState::default());
     let hosts = plan.host_view(&[]);
     let service = &config.services[&SERVICE];
-    let map = |host| HomeMap::new(host, service, &config, &hosts, 4);
+    let map = |host| AllocatorMap::new(host, service, &config, &hosts, 4);
     for id in 0..plan.upstreams {
         let entry = &config.upstreams[&id];
-        let keepers: Vec<_> = (0..plan.hosts)
-            .map(|host| map(host).keeper_of(id, entry))
+        let allocators: Vec<_> = (0..plan.hosts)
+            .map(|host| map(host).allocator_of(id, entry))
             .collect();
-        assert!(keepers.iter().all(|keeper| *keeper == keepers[0]));
-        let keeper = keepers[0].unwrap();
-        assert_eq!(plan.zone(keeper), plan.zone(id));
-        assert!(map(keeper).is_keeper(keeper));
+        assert!(
+            allocators
+                .iter()
+                .all(|allocator| *allocator == allocators[0])
+        );
+        let allocator = allocators[0].unwrap();
+        assert_eq!(plan.zone(allocator), plan.zone(id));
+        assert!(map(allocator).is_allocator(allocator));
     }
     for host in 0..plan.hosts {
-        let own = map(host).own_keeper().unwrap();
+        let own = map(host).own_allocator().unwrap();
         assert_eq!(plan.zone(own), plan.zone(host));
     }
 }
 
 #[test]
-fn test_zone_without_hosts_has_keepers_elsewhere() {
+fn test_zone_without_hosts_has_allocators_elsewhere() {
     let plan = ClusterPlan::standard(0.0, WorkShape::Fixed, 1);
     let config = plan.config(1, &FleetState::default());
     let hosts = plan.host_view(&[0, 3, 6]);
-    let map = HomeMap::new(1, &config.services[&SERVICE], &config, &hosts, 16);
-    let keeper = map.keeper_of(0, &config.upstreams[&0]).unwrap();
-    assert!(![0, 3, 6].contains(&keeper));
+    let map = AllocatorMap::new(1, &config.services[&SERVICE], &config, &hosts, 16);
+    let allocator = map.allocator_of(0, &config.upstreams[&0]).unwrap();
+    assert!(![0, 3, 6].contains(&allocator));
 }
 
 fn table_of(entries: &[UpstreamEntry], now: Instant, is_new: bool) -> SlotTable {
@@ -221,15 +226,15 @@
 
 #[test]
 fn test_ejection_stops_at_its_bound() {
-    // Every upstream seems to lose jobs: this host is cut off, not they. If all were taken out of
-    // use, nothing would be served when the cut ends.
+    // Every upstream seems to lose requests because this host is cut off. If all were ejected,
+    // nothing would be served when the connection returns.
     let now = Instant::now();
     let mut table = table_of(&entries(), now, false);
     let full = table.open_slots();
     for _round in 0..200 {
-        let Some(id) = table.best() else { break };
+        let Some(id) = table.least_used() else { break };
         let slot = table.take(now, id, MILLI).unwrap();
-        table.give_back(now, slot, GrantEnd::Lost, MILLI);
+        table.give_back(now, slot, GrantOutcome::Lost, MILLI);
     }
     let ejected = full - table.open_slots();
     assert!((2..=8).contains(&ejected), "{ejected} of {full} slots");
@@ -254,9 +259,9 @@
 }
 
 #[test]
-fn test_newcomer_does_not_take_everything() {
-    // An upstream that was just added has been used least. It must not get every job until it has
-    // caught up with hours of the others' use.
+fn test_new_upstream_does_not_get_every_request() {
+    // A newly added upstream has the lowest usage. It must not get every request until it has
+    // caught up with hours of the others' usage.
     let now = Instant::now();
     let entries = entries();
     let mut table = table_of(&entries[..3], now, false);
@@ -264,10 +269,10 @@
         let mut uses = [0; 4];
         for round in 0..rounds {
             let at = now + MILLI * 100 * (from + round);
-            let id = table.best().unwrap();
+            let id = table.least_used().unwrap();
             uses[id as usize] += 1;
             let slot = table.take(at, id, MILLI * 100).unwrap();
-            table.give_back(at + MILLI * 100, slot, GrantEnd::Answered, MILLI * 100);
+            table.give_back(at + MILLI * 100, slot, GrantOutcome::Answered, MILLI * 100);
         }
         uses
     };
--- a/lib/tests/test_load_stories.rs
+++ b/lib/tests/test_load_scenarios.rs
@@ -1,4 +1,4 @@
-//! Decisions under load, judged by what callers receive, in virtual time.
+//! Tests of the load policy in virtual time, by the results that callers receive.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -54,15 +54,20 @@
     run
 }
 
-/// Jobs of a class that arrived between two times from the start.
-fn jobs_between(run: &ClusterRun, class: usize, from: Duration, to: Duration) -> Vec<&JobOutcome> {
+/// Requests of a class that arrived between two times, counted from the start.
+fn requests_between(
+    run: &ClusterRun,
+    class: usize,
+    from: Duration,
+    to: Duration,
+) -> Vec<&JobOutcome> {
     let span = run.begin + from..run.begin + to;
     let jobs = run.jobs.iter();
     jobs.filter(|job| job.class == class && span.contains(&job.arrived))
         .collect()
 }
 
-fn success(jobs: &[&JobOutcome]) -> f64 {
+fn success_rate(jobs: &[&JobOutcome]) -> f64 {
     let answered = |job: &&&JobOutcome| job.result == CallerResult::Answered;
     jobs.iter().filter(answered).count() as f64 / jobs.len() as f64
 }
@@ -71,7 +76,7 @@
     jobs.iter().filter(|job| job.result == result).count()
 }
 
-/// 99th percentile of the time from arrival to answer.
+/// 99th percentile of the time from arrival to response, in seconds.
 fn response_p99(jobs: &[&JobOutcome]) -> f64 {
     let answered = jobs
         .iter()
@@ -82,8 +87,8 @@
 
 #[test]
 fn test_steady_load_waits_little_and_evenly() {
-    // Door streams are late at 80 % load although slots are free: hosts that know nothing of each
-    // other's jobs crowd some upstreams and leave others idle.
+    // Guards against late responses at 80 % load while slots are free: without shared allocators,
+    // hosts know nothing of each other's requests, overload some upstreams and leave others idle.
     let plan = plan(vec![class("all", 100, 0.8)], 65);
     let run = run(&plan, &[]);
     let figures = RunFigures::of_run(&plan, &run);
@@ -94,9 +99,9 @@
 }
 
 #[test]
-fn test_burst_is_queued_and_gone_after() {
-    // For one second four times the capacity arrives. Callers that are let wait all get their
-    // answer; the others are told at once to come back; two seconds later nothing is left of it.
+fn test_burst_is_queued_and_served() {
+    // Four times the capacity arrives for one second. Every queued request must be answered, the
+    // others are refused at once, and the burst has no effect from six seconds after its end.
     let burst = CallerClass {
         active: (SECOND * 20, SECOND * 21),
         ..class("burst", 100, 3.5)
@@ -106,96 +111,110 @@
     let all: Vec<&JobOutcome> = run.jobs.iter().collect();
     assert_eq!(count(&all, CallerResult::MissedWaiting), 0);
     assert!(count(&all, CallerResult::MissedRunning) <= 1);
-    let burst = jobs_between(&run, 1, Duration::ZERO, SECOND * 40);
-    assert!(success(&burst) >= 0.5, "{}", success(&burst));
-    let after = jobs_between(&run, 0, SECOND * 27, SECOND * 40);
-    assert!(success(&after) >= 0.999, "{}", success(&after));
+    let burst = requests_between(&run, 1, Duration::ZERO, SECOND * 40);
+    assert!(success_rate(&burst) >= 0.5, "{}", success_rate(&burst));
+    let after = requests_between(&run, 0, SECOND * 27, SECOND * 40);
+    assert!(success_rate(&after) >= 0.999, "{}", success_rate(&after));
 }
 
 #[test]
-fn test_hot_caller_pays_for_itself() {
-    // One exporter's script sends ten times its share and the service is full. Inspectors must not
-    // be refused or wait for it: the hot caller's jobs would fill the queue.
+fn test_hot_caller_does_not_affect_others() {
+    // One caller sends ten times its share to a full service. The other callers must be neither
+    // refused nor delayed, although its requests would fill a plain queue.
     let hot = class("hot", 1, 0.4);
     let plan = plan(vec![class("ordinary", 19, 0.76), hot], 65);
     let run = run(&plan, &[]);
-    let ordinary = jobs_between(&run, 0, SECOND * 5, SECOND * 65);
-    assert!(success(&ordinary) >= 0.99, "{}", success(&ordinary));
-    let hot = jobs_between(&run, 1, SECOND * 5, SECOND * 65);
-    assert!(success(&hot) <= 0.8, "{}", success(&hot));
+    let ordinary = requests_between(&run, 0, SECOND * 5, SECOND * 65);
+    assert!(
+        success_rate(&ordinary) >= 0.99,
+        "{}",
+        success_rate(&ordinary)
+    );
+    let hot = requests_between(&run, 1, SECOND * 5, SECOND * 65);
+    assert!(success_rate(&hot) <= 0.8, "{}", success_rate(&hot));
 }
 
 #[test]
-fn test_flood_of_one_caller_leaves_places() {
-    // A script that was quiet until now sends three times the capacity for two seconds. Its use of
-    // slots does not yet show; if its jobs held all places, everyone else would wait for seconds.
+fn test_flood_of_one_caller_leaves_queue_places() {
+    // A caller without previous usage sends three times the capacity for two seconds. Its slot
+    // usage does not show this yet; if its requests took all places in the queue, the other callers
+    // would wait for seconds.
     let flood = CallerClass {
         active: (SECOND * 10, SECOND * 12),
         ..class("flood", 1, 3.0)
     };
     let plan = plan(vec![class("ordinary", 50, 0.5), flood], 20);
     let run = run(&plan, &[]);
-    let ordinary = jobs_between(&run, 0, SECOND * 10, SECOND * 14);
+    let ordinary = requests_between(&run, 0, SECOND * 10, SECOND * 14);
     let response = response_p99(&ordinary);
     assert!(response <= 1.0, "response p99 {response} s");
-    assert!(success(&ordinary) >= 0.97, "{}", success(&ordinary));
+    assert!(
+        success_rate(&ordinary) >= 0.97,
+        "{}",
+        success_rate(&ordinary)
+    );
 }
 
 #[test]
-fn test_hot_key_harms_only_its_upstream() {
-    // One lot's session sends three times what its one upstream can do. Requests that may run
-    // elsewhere must not notice: the pinned ones would otherwise hold the queue's places.
+fn test_hot_key_affects_only_its_upstream() {
+    // Pinned flows send three times what their one upstream can serve. Requests that may run
+    // elsewhere must not be affected, as they would be if pinned requests took the queue's places.
     let hot = CallerClass {
         pinned: Some(3),
         ..class("hot key", 5, 3.0 / 14.0)
     };
     let plan = plan(vec![class("ordinary", 100, 0.6), hot], 65);
     let run = run(&plan, &[]);
-    let ordinary = jobs_between(&run, 0, SECOND * 5, SECOND * 65);
-    assert!(success(&ordinary) >= 0.99, "{}", success(&ordinary));
-    let hot = jobs_between(&run, 1, SECOND * 5, SECOND * 65);
-    let done = success(&hot) * 3.0;
+    let ordinary = requests_between(&run, 0, SECOND * 5, SECOND * 65);
     assert!(
-        done >= 0.7,
-        "the pinned upstream did {done} of its capacity"
+        success_rate(&ordinary) >= 0.99,
+        "{}",
+        success_rate(&ordinary)
+    );
+    let hot = requests_between(&run, 1, SECOND * 5, SECOND * 65);
+    let served = success_rate(&hot) * 3.0;
+    assert!(
+        served >= 0.7,
+        "the pinned upstream served {served} of its capacity"
     );
 }
 
 #[test]
 fn test_slow_upstream_is_avoided() {
-    // One upstream takes eight times as long as the others. Few callers may meet it, and none of
-    // the others' slots may wait for it.
+    // One upstream takes eight times as long as the others. It must receive few requests, and no
+    // slot of another upstream may wait for it.
     let plan = plan(vec![class("all", 100, 0.2)], 65);
     let usual = run(&plan, &[]);
     let slowed = run(&plan, &[(SECOND * 2, WorldChange::Pace(4, 8.0))]);
     let span = (SECOND * 15, SECOND * 65);
-    let before = jobs_between(&usual, 0, span.0, span.1);
-    let after = jobs_between(&slowed, 0, span.0, span.1);
+    let before = requests_between(&usual, 0, span.0, span.1);
+    let after = requests_between(&slowed, 0, span.0, span.1);
     let ratio = response_p99(&after) / response_p99(&before);
     assert!(ratio <= 1.4, "response p99 grew {ratio} times");
-    assert!(success(&after) >= 0.995, "{}", success(&after));
+    assert!(success_rate(&after) >= 0.995, "{}", success_rate(&after));
     let from = slowed.begin + SECOND * 15;
     let late = |at: &&Instant| **at >= from;
     let sent = slowed.upstreams[4].arrivals.iter().filter(late).count();
     let share = sent as f64 / (after.len() as f64 / 14.0);
     assert!(
         share <= 0.05,
-        "the slow upstream got {share} of an even share"
+        "the slow upstream received {share} of an even share"
     );
 }
 
-struct LieCase {
+struct MisreportCase {
     name: &'static str,
     changes: Vec<(Duration, WorldChange)>,
-    /// Sends to upstreams for each job, at most: what is shed is sent again.
-    most_sends: f64,
-    least_success: f64,
+    /// Maximum number of sends per request; a request that is shed is sent again.
+    max_sends: f64,
+    min_success: f64,
 }
 
 #[test]
-fn test_lying_endpoint_is_not_believed() {
-    // An upstream's published slots or its endpoints say other than it does. Callers meet refusals
-    // and retries for as long as hosts believe what is said rather than what they see.
+fn test_wrong_upstream_reports_have_little_effect() {
+    // An upstream's published slots or its endpoints contradict its behavior. Hosts must rely on
+    // what they observe; otherwise callers are refused and requests are retried for as long as this
+    // lasts.
     let report = |upstream, healthy, busy_slots| {
         WorldChange::Report(UpstreamReport {
             upstream,
@@ -205,41 +224,41 @@
         })
     };
     let cases = [
-        LieCase {
-            name: "has one slot, says two, of which none is busy",
+        MisreportCase {
+            name: "has one slot, but reports two idle ones",
             changes: vec![
                 (SECOND, WorldChange::Slots(2, 1)),
                 (SECOND * 6, report(2, true, 0)),
             ],
-            most_sends: 1.02,
-            least_success: 0.995,
+            max_sends: 1.02,
+            min_success: 0.995,
         },
-        LieCase {
-            name: "works, and says that it is full and unhealthy",
+        MisreportCase {
+            name: "works, but reports that it is full and unhealthy",
             changes: vec![
                 (SECOND, report(2, false, 2)),
                 (SECOND * 6, report(2, false, 2)),
             ],
-            most_sends: 1.0,
-            least_success: 0.995,
+            max_sends: 1.0,
+            min_success: 0.995,
         },
-        LieCase {
-            name: "sheds everything, and says that it is healthy",
+        MisreportCase {
+            name: "sheds everything, but reports that it is healthy",
             changes: vec![
                 (SECOND, WorldChange::Slots(2, 0)),
                 (SECOND * 6, report(2, true, 0)),
             ],
-            most_sends: 1.02,
-            least_success: 0.995,
+            max_sends: 1.02,
+            min_success: 0.995,
         },
-        LieCase {
-            name: "is dead, and says that it is healthy",
+        MisreportCase {
+            name: "is dead, but reports that it is healthy",
             changes: vec![
                 (SECOND, WorldChange::Mute(2, true)),
                 (SECOND * 6, report(2, true, 0)),
             ],
-            most_sends: 1.0,
-            least_success: 0.995,
+            max_sends: 1.0,
+            min_success: 0.995,
         },
     ];
     let plan = plan(vec![class("all", 100, 0.6)], 45);
@@ -248,21 +267,18 @@
         let figures = RunFigures::of_run(&plan, &run);
         let name = case.name;
         assert!(
-            figures.sends_per_job <= case.most_sends,
-            "{name}: {figures:?}"
-        );
-        assert!(
-            figures.answered >= case.least_success,
+            figures.sends_per_job <= case.max_sends,
             "{name}: {figures:?}"
         );
+        assert!(figures.answered >= case.min_success, "{name}: {figures:?}");
     }
 }
 
 #[test]
-fn test_long_jobs_among_short() {
-    // One job in twenty is a lot history that takes fifty times as long. Short transfers must not
-    // wait behind them: their 99th percentile may at most double. All together are 54 % of capacity;
-    // at 80 % it does not hold (docs/design/dispatch.md).
+fn test_long_requests_among_short() {
+    // One request in twenty takes fifty times as long. The 99th percentile of the short requests
+    // may at most double. All requests together are 54 % of the capacity; at 80 % the bound does
+    // not hold (docs/design/dispatch.md).
     let short = CallerClass {
         shape: WorkShape::Fixed,
         ..class("short", 100, 0.15)
@@ -271,24 +287,24 @@
         mean: short.mean * 50,
         ..class("long", 20, 0.15 / 0.95 * 0.05 * 50.0)
     };
-    let patient = |classes| ClusterPlan {
+    let with_long_timeout = |classes| ClusterPlan {
         patience: SECOND * 60,
         ..plan(classes, 185)
     };
-    let alone = run(&patient(vec![short.clone()]), &[]);
-    let mixed = run(&patient(vec![short, long]), &[]);
+    let alone = run(&with_long_timeout(vec![short.clone()]), &[]);
+    let mixed = run(&with_long_timeout(vec![short, long]), &[]);
     let span = (SECOND * 20, SECOND * 180);
-    let before = response_p99(&jobs_between(&alone, 0, span.0, span.1));
-    let after = response_p99(&jobs_between(&mixed, 0, span.0, span.1));
+    let before = response_p99(&requests_between(&alone, 0, span.0, span.1));
+    let after = response_p99(&requests_between(&mixed, 0, span.0, span.1));
     assert!(after <= 2.0 * before, "from {before} s to {after} s");
-    let shorts = jobs_between(&mixed, 0, span.0, span.1);
-    assert!(success(&shorts) >= 0.99, "{}", success(&shorts));
+    let shorts = requests_between(&mixed, 0, span.0, span.1);
+    assert!(success_rate(&shorts) >= 0.99, "{}", success_rate(&shorts));
 }
 
 #[test]
 fn test_sustained_overload_keeps_slots_busy() {
-    // Twice the capacity arrives for a minute. The slots stay busy with jobs whose callers still
-    // wait, who is let wait is served, and those let wait do not wait their whole deadline.
+    // Twice the capacity arrives for a minute. The slots must stay busy with requests whose callers
+    // still wait, queued requests must be served, and their wait must stay far below the deadline.
     let plan = plan(vec![class("all", 100, 2.0)], 65);
     let run = run(&plan, &[]);
     let figures = RunFigures::of_run(&plan, &run);
@@ -299,8 +315,8 @@
 
 #[test]
 fn test_many_upstreams_drain_at_once() {
-    // Half of the upstreams drain in the same moment, and hosts learn of it up to 2.1 s apart.
-    // Three seconds after the publication no new work reaches any of them, and no caller notices.
+    // Half of the upstreams drain at the same moment, and hosts learn of it up to 2.1 s apart.
+    // After that no new request may reach any of them, and callers must not be affected.
     let drained = FleetState {
         draining: (0..7).collect(),
         ..FleetState::default()
@@ -310,20 +326,21 @@
     let change = (SECOND * 10, WorldChange::Publish(drained, apart));
     let run = run(&plan, &[change]);
     let known = run.begin + SECOND * 10 + apart * 7;
-    // The longest trip to an upstream follows the last decision that did not know.
+    // The longest trip to an upstream after the last decision under the old configuration.
     let last = known + TICK;
     for upstream in &run.upstreams[..7] {
         let late: Vec<&Instant> = upstream.arrivals.iter().filter(|at| **at > last).collect();
         assert!(late.is_empty(), "upstream {}: {}", upstream.id, late.len());
     }
-    let jobs = jobs_between(&run, 0, SECOND * 5, SECOND * 40);
-    assert!(success(&jobs) >= 0.99, "{}", success(&jobs));
+    let jobs = requests_between(&run, 0, SECOND * 5, SECOND * 40);
+    assert!(success_rate(&jobs) >= 0.99, "{}", success_rate(&jobs));
 }
 
 #[test]
 fn test_cold_fleet_after_zone_loss() {
-    // A zone's upstreams are lost and replaced by cold ones, which run their first jobs four times
-    // as slowly. Callers meet neither refusals for held-back slots nor a crowd at the newcomers.
+    // A zone's upstreams are lost and replaced by cold ones, which run their first requests four
+    // times as slowly. Requests must neither be refused because of limited slots nor overload the
+    // new upstreams.
     let lost: Vec<u32> = (0..14).filter(|id| id % 3 == 0).collect();
     let gone = FleetState {
         gone: lost.clone(),
@@ -343,16 +360,17 @@
     }
     let plan = plan(vec![class("all", 100, 0.5)], 45);
     let run = run(&plan, &changes);
-    let during = jobs_between(&run, 0, SECOND * 8, SECOND * 30);
-    assert!(success(&during) >= 0.98, "{}", success(&during));
-    let after = jobs_between(&run, 0, SECOND * 32, SECOND * 45);
-    assert!(success(&after) >= 0.999, "{}", success(&after));
+    let during = requests_between(&run, 0, SECOND * 8, SECOND * 30);
+    assert!(success_rate(&during) >= 0.98, "{}", success_rate(&during));
+    let after = requests_between(&run, 0, SECOND * 32, SECOND * 45);
+    assert!(success_rate(&after) >= 0.999, "{}", success_rate(&after));
 }
 
 #[test]
-fn test_retry_storm_dies_down() {
-    // For three seconds every upstream sheds everything. Refused callers insist every 100 ms, or
-    // come back when told to. Our own retries stay within a tenth, and the storm ends with its cause.
+fn test_retry_storm_ends_with_its_cause() {
+    // Every upstream sheds everything for three seconds. Refused callers retry every 100 ms, or
+    // when they are told to. The retries of the policy must stay within a tenth of the requests,
+    // and the overload must end with its cause.
     for habit in [
         RefusedHabit::Insist(Duration::from_millis(100), 50),
         RefusedHabit::ComeBack(50),
@@ -373,16 +391,22 @@
             f64::from(retries) <= 0.1 * jobs + 80.0,
             "{habit:?}: {retries}"
         );
-        // Three seconds of 70 % load take seven of the 30 % left to serve.
-        let after = jobs_between(&run, 0, SECOND * 22, SECOND * 40);
-        assert!(success(&after) >= 0.99, "{habit:?}: {}", success(&after));
+        // The work of three seconds at 70 % load takes seven seconds of the remaining 30 % to
+        // serve.
+        let after = requests_between(&run, 0, SECOND * 22, SECOND * 40);
+        assert!(
+            success_rate(&after) >= 0.99,
+            "{habit:?}: {}",
+            success_rate(&after)
+        );
     }
 }
 
 #[test]
-fn test_keeper_dies_and_messages_are_lost() {
-    // The host that gives away a zone's slots dies, and one message in fifty is lost. Jobs of other
-    // hosts must not wait for its word until their deadline, nor slots stay taken by the dead.
+fn test_allocator_dies_and_messages_are_lost() {
+    // The host that allocates a zone's slots dies, and one message in fifty is lost. Requests of
+    // other hosts must not wait for its reply until their deadline, and slots must not stay taken
+    // by the dead host.
     for host in 0..8 {
         let plan = ClusterPlan {
             loss: 0.02,
@@ -390,12 +414,20 @@
         };
         let death = (SECOND * 10, WorldChange::Kill(host, SECOND * 3));
         let run = run(&plan, &[death]);
-        let during = jobs_between(&run, 0, SECOND * 10 + TICK, SECOND * 13);
-        assert!(success(&during) >= 0.9, "host {host}: {}", success(&during));
+        let during = requests_between(&run, 0, SECOND * 10 + TICK, SECOND * 13);
+        assert!(
+            success_rate(&during) >= 0.9,
+            "host {host}: {}",
+            success_rate(&during)
+        );
         let response = response_p99(&during);
         assert!(response <= 1.5, "host {host}: response p99 {response} s");
-        let after = jobs_between(&run, 0, SECOND * 15, SECOND * 25);
-        assert!(success(&after) >= 0.995, "host {host}: {}", success(&after));
+        let after = requests_between(&run, 0, SECOND * 15, SECOND * 25);
+        assert!(
+            success_rate(&after) >= 0.995,
+            "host {host}: {}",
+            success_rate(&after)
+        );
     }
 }
 
--- a/lib/tests/test_placement_table.rs
+++ b/lib/tests/test_placement_table.rs
@@ -1,7 +1,7 @@
-//! Tests of the placement table: alike everywhere, even, and moved little by a change.
+//! Tests that placement tables spread flows evenly and that a change moves few flows.
 
 use lagoonproxy::ids::UpstreamId;
-use lagoonproxy::placement_table::KEPT_TABLES;
+use lagoonproxy::placement_table::MAX_KEPT_TABLES;
 use lagoonproxy::placement_table::PlacementTable;
 use lagoonproxy::placement_table::TableHistory;
 use lagoonproxy::placement_table::TableMember;
@@ -68,7 +68,7 @@
         assert!(history.put_in_force(table(0..last)));
         assert!(!history.put_in_force(table(0..last)));
     }
-    assert_eq!(history.kept(1).count(), KEPT_TABLES);
+    assert_eq!(history.kept(1).count(), MAX_KEPT_TABLES);
     assert!(history.find(1, table(0..30).id()).is_some());
     assert!(history.find(1, table(0..2).id()).is_none());
     assert!(history.put_in_force(table(0..30)));
@@ -76,7 +76,7 @@
         history.newest(1).map(PlacementTable::id),
         Some(table(0..30).id())
     );
-    assert_eq!(history.kept(1).count(), KEPT_TABLES);
+    assert_eq!(history.kept(1).count(), MAX_KEPT_TABLES);
 }
 
 #[test]
--- a/lib/tests/test_planned_change.rs
+++ b/lib/tests/test_planned_change.rs
@@ -1,87 +1,88 @@
-//! Planned changes of the hosts: every request is answered, whatever is under way.
+//! Tests that every request is answered during planned changes of the hosts.
 
 use std::sync::Arc;
 
 use lagoonproxy::config_snapshot::HostView;
 
-use crate::fake_cell::CALM_LINKS;
-use crate::fake_cell::FLOWS;
-use crate::fake_cell::FakeCell;
-use crate::fake_cell::LinkFaults;
-use crate::fake_cell::STEP;
+use crate::fake_group::FAULTLESS_LINKS;
+use crate::fake_group::FLOWS;
+use crate::fake_group::FakeGroup;
+use crate::fake_group::LinkFaults;
+use crate::fake_group::STEP;
 use crate::world::host_view;
 
 const HOSTS: u32 = 5;
-const WARM_UP: u64 = 5_000;
-/// How long callers wait; longer than the votes need to change over.
-const WAIT: u64 = 8_000;
+const WARM_UP_MS: u64 = 5_000;
+/// Request timeout in milliseconds; longer than the lease votes need to change over.
+const REQUEST_TIMEOUT_MS: u64 = 8_000;
 
 struct ChangeCase {
     name: &'static str,
     faults: LinkFaults,
-    /// What is done to the cell, given milliseconds since the start of the change.
-    change: fn(&mut FakeCell, u64),
+    /// Applies the change to the group, given the milliseconds since the start of the change.
+    change: fn(&mut FakeGroup, u64),
 }
 
-fn leave(cell: &mut FakeCell, time: u64) {
+fn leave(group: &mut FakeGroup, time: u64) {
     if time == 500 {
-        cell.drain(1);
+        group.drain(1);
     }
-    if cell.hosts[1].drained && cell.hosts[1].core.is_some() {
-        cell.crash(1);
-        publish(cell, &[1, 3, 4, 5], 2, 900);
+    if group.hosts[1].drained && group.hosts[1].core.is_some() {
+        group.crash(1);
+        publish(group, &[1, 3, 4, 5], 2, 900);
     }
 }
 
-fn leave_twice(cell: &mut FakeCell, time: u64) {
+fn leave_twice(group: &mut FakeGroup, time: u64) {
     if time == 500 {
-        cell.drain(1);
-        cell.drain(2);
+        group.drain(1);
+        group.drain(2);
     }
 }
 
-fn join(cell: &mut FakeCell, time: u64) {
+fn join(group: &mut FakeGroup, time: u64) {
     if time == 500 {
         let members = [1, 2, 3, 4, 5, 6];
-        let view = publish(cell, &members, 2, 900);
-        cell.add_host(6, &view);
+        let view = publish(group, &members, 2, 900);
+        group.add_host(6, &view);
     }
 }
 
-fn join_known_at_once(cell: &mut FakeCell, time: u64) {
+fn join_known_at_once(group: &mut FakeGroup, time: u64) {
     if time == 500 {
         let members = [1, 2, 3, 4, 5, 6];
-        let view = publish(cell, &members, 2, 0);
-        cell.add_host(6, &view);
+        let view = publish(group, &members, 2, 0);
+        group.add_host(6, &view);
     }
 }
 
-fn restart(cell: &mut FakeCell, time: u64) {
+fn restart(group: &mut FakeGroup, time: u64) {
     if time == 500 {
-        cell.drain(3);
+        group.drain(3);
     }
-    if cell.hosts[3].drained {
-        cell.start(3);
+    if group.hosts[3].drained {
+        group.start(3);
     }
 }
 
-/// Publishes a list that hosts learn of one by one.
-fn publish(cell: &mut FakeCell, members: &[u32], version: u64, lag: u64) -> Arc<HostView> {
+/// Publishes a host list that hosts receive one after the other within `lag` milliseconds.
+fn publish(group: &mut FakeGroup, members: &[u32], version: u64, lag: u64) -> Arc<HostView> {
     let mut view = (*host_view(members)).clone();
     view.version = version;
     let view = Arc::new(view);
-    for index in 0..cell.hosts.len() {
-        let step = lag / cell.hosts.len() as u64;
-        cell.lagging
-            .push((cell.time + step * index as u64, index, Arc::clone(&view)));
+    for index in 0..group.hosts.len() {
+        let step = lag / group.hosts.len() as u64;
+        group
+            .pending_lists
+            .push((group.time + step * index as u64, index, Arc::clone(&view)));
     }
     view
 }
 
 #[test]
 fn test_request_planned_change_loses_none() {
-    // An inspector's transfer is answered with "unknown" in the middle of a rolling restart: the
-    // new owner of its flow cannot tell whether the host that left had run it.
+    // A request ends with an unknown outcome during a rolling restart: the new owner of its flow
+    // cannot tell whether the host that left had run it.
     let lossy = LinkFaults {
         loss: 0.05,
         upstream_loss: 0.0,
@@ -91,7 +92,7 @@
     let overtaking = LinkFaults {
         duplication: 0.5,
         delay: 300,
-        ..CALM_LINKS
+        ..FAULTLESS_LINKS
     };
     let cases = [
         ChangeCase {
@@ -106,12 +107,12 @@
         },
         ChangeCase {
             name: "none",
-            faults: CALM_LINKS,
+            faults: FAULTLESS_LINKS,
             change: |_cell, _time| {},
         },
         ChangeCase {
             name: "one host leaves",
-            faults: CALM_LINKS,
+            faults: FAULTLESS_LINKS,
             change: leave,
         },
         ChangeCase {
@@ -121,17 +122,17 @@
         },
         ChangeCase {
             name: "a host joins",
-            faults: CALM_LINKS,
+            faults: FAULTLESS_LINKS,
             change: join,
         },
         ChangeCase {
             name: "a host joins, known at once",
-            faults: CALM_LINKS,
+            faults: FAULTLESS_LINKS,
             change: join_known_at_once,
         },
         ChangeCase {
             name: "a host restarts",
-            faults: CALM_LINKS,
+            faults: FAULTLESS_LINKS,
             change: restart,
         },
     ];
@@ -143,25 +144,25 @@
 }
 
 fn check_case(case: &ChangeCase, seed: u64) {
-    let mut cell = FakeCell::new(seed, HOSTS);
-    while cell.time < WARM_UP {
-        cell.step();
+    let mut group = FakeGroup::new(seed, HOSTS);
+    while group.time < WARM_UP_MS {
+        group.step();
     }
-    cell.faults = case.faults;
+    group.faults = case.faults;
     for time in (0..12_000).step_by(STEP as usize) {
         if time % 60 == 0 {
-            cell.request(time / 60 % FLOWS, WAIT, false, None);
+            group.request(time / 60 % FLOWS, REQUEST_TIMEOUT_MS, false, None);
         }
-        (case.change)(&mut cell, time);
-        cell.step();
-        cell.check(seed);
+        (case.change)(&mut group, time);
+        group.step();
+        group.check(seed);
     }
-    cell.faults = CALM_LINKS;
-    for _step in 0..WAIT / STEP {
-        cell.step();
-        cell.check(seed);
+    group.faults = FAULTLESS_LINKS;
+    for _step in 0..REQUEST_TIMEOUT_MS / STEP {
+        group.step();
+        group.check(seed);
     }
-    let open: Vec<_> = cell
+    let open: Vec<_> = group
         .requests
         .iter()
         .filter(|(_number, request)| !request.answered || !request.refusals.is_empty())
--- a/lib/tests/test_request_outcome.rs
+++ b/lib/tests/test_request_outcome.rs
@@ -1,4 +1,5 @@
-//! Outcomes of requests at one host: what callers are told, and which answers are taken.
+//! Outcomes of requests at a single host: which refusals callers get, and which responses are
+//! accepted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +13,11 @@
 use lagoonproxy::host_core::MAX_HOPS;
 use lagoonproxy::host_core::TICK;
 use lagoonproxy::host_event::HostEvent;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
-use lagoonproxy::request_table::ANSWER_BYTES;
+use lagoonproxy::load_policy::SubmittedRequest;
+use lagoonproxy::request_table::MAX_ANSWER_BYTES;
 use lagoonproxy::request_table::RequestKey;
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy::wire_frame::AnswerPart;
@@ -37,12 +38,12 @@
 use crate::world::transfer;
 use crate::world::upstream_address;
 
-struct OneHost {
+struct SingleHost {
     core: HostCore,
     now: Instant,
 }
 
-impl OneHost {
+impl SingleHost {
     fn new(upstreams: u32) -> Self {
         let now = Instant::now();
         Self {
@@ -57,16 +58,16 @@
         actions
     }
 
-    fn caller(&mut self, body: CallerBody) -> Vec<HostAction> {
+    fn handle_caller(&mut self, body: CallerBody) -> Vec<HostAction> {
         self.event(HostEvent::CallerFrame {
             caller: caller_address(),
             frame: ledger_frame(body),
         })
     }
 
-    /// Sends a request and returns the tag of its run.
+    /// Sends a request and returns the tag of its attempt.
     fn run(&mut self, request: RequestBody) -> RoutingTag {
-        let actions = self.caller(CallerBody::Request(request));
+        let actions = self.handle_caller(CallerBody::Request(request));
         let sent = actions.iter().find_map(|action| match action {
             HostAction::ToUpstream { frame, .. } => Some(frame.tag),
             _ => None,
@@ -74,14 +75,14 @@
         sent.unwrap_or_else(|| panic!("not sent: {actions:?}"))
     }
 
-    fn upstream(&mut self, tag: RoutingTag, body: UpstreamBody) -> Vec<HostAction> {
+    fn handle_upstream(&mut self, tag: RoutingTag, body: UpstreamBody) -> Vec<HostAction> {
         self.event(HostEvent::UpstreamFrame {
             source: upstream_address(tag.upstream),
             frame: UpstreamFrame { tag, body },
         })
     }
 
-    fn pass(&mut self, time: Duration) -> Vec<HostAction> {
+    fn advance_time(&mut self, time: Duration) -> Vec<HostAction> {
         let end = self.now + time;
         let mut actions = Vec::new();
         while self.now < end {
@@ -127,15 +128,15 @@
 
 #[test]
 fn test_answer_with_other_tag_is_dropped() {
-    // An exporter receives the certificate of another lot: an answer arrives late, from an attempt
-    // that was given up or from the process that had the upstream's address before.
+    // Guards against a caller that receives the response to another request. Such a response comes
+    // late, from an abandoned attempt or from the process that had the upstream's address before.
     let cases = [
         TagCase {
-            name: "former attempt",
+            name: "previous attempt",
             change: |tag| tag.attempt -= 1,
         },
         TagCase {
-            name: "former process at the upstream's address",
+            name: "previous process at the upstream's address",
             change: |tag| tag.incarnation += 1,
         },
         TagCase {
@@ -156,24 +157,30 @@
         },
     ];
     for case in cases {
-        let mut host = OneHost::new(3);
+        let mut host = SingleHost::new(3);
         let tag = host.run(transfer(1));
         let mut other = tag;
         (case.change)(&mut other);
-        assert_eq!(host.upstream(other, part(tag, b"x")), [], "{}", case.name);
-        let own = host.upstream(tag, part(tag, b"x"));
+        assert_eq!(
+            host.handle_upstream(other, part(tag, b"x")),
+            [],
+            "{}",
+            case.name
+        );
+        let own = host.handle_upstream(tag, part(tag, b"x"));
         assert_eq!(own.len(), 1, "{}", case.name);
     }
 }
 
 #[test]
 fn test_answer_of_former_process_is_delivered_by_tag() {
-    // A transfer ran, but its caller never hears: the host that sent it restarted meanwhile.
-    let mut host = OneHost::new(3);
+    // Guards against a response that is lost because the host that sent the request to the upstream
+    // has restarted.
+    let mut host = SingleHost::new(3);
     let mut tag = host.run(transfer(1));
     tag.owner_incarnation += 7;
     tag.request = 2;
-    let actions = host.upstream(tag, part(tag, b"x"));
+    let actions = host.handle_upstream(tag, part(tag, b"x"));
     let [HostAction::ToCaller { caller, frame }] = actions.as_slice() else {
         panic!("{actions:?}");
     };
@@ -202,18 +209,19 @@
 
 #[test]
 fn test_answer_not_acknowledged_gives_way_within_bound() {
-    // A host runs out of memory, because callers that have gone never acknowledge their answers.
-    let mut host = OneHost::new(3);
+    // Guards against a host that runs out of memory because callers disappear without acknowledging
+    // their responses.
+    let mut host = SingleHost::new(3);
     let payload: &'static [u8] = &[7; 1_000];
-    let requests = (ANSWER_BYTES / payload.len()) as u64 + 2;
+    let requests = (MAX_ANSWER_BYTES / payload.len()) as u64 + 2;
     for request in 1..=requests {
         let tag = host.run(transfer(request));
-        host.upstream(tag, part(tag, payload));
+        host.handle_upstream(tag, part(tag, payload));
     }
-    let first = host.caller(CallerBody::Request(transfer(1)));
+    let first = host.handle_caller(CallerBody::Request(transfer(1)));
     let expected = [(ResultCode::AnswerLost, RunOutcome::Run)];
     assert_eq!(refusals(&first), expected);
-    let last = host.caller(CallerBody::Request(transfer(requests)));
+    let last = host.handle_caller(CallerBody::Request(transfer(requests)));
     let [HostAction::ToCaller { frame, .. }] = last.as_slice() else {
         panic!("{last:?}");
     };
@@ -222,11 +230,11 @@
 
 #[test]
 fn test_refusal_is_the_same_for_each_copy() {
-    let mut host = OneHost::new(0);
-    let first = host.caller(CallerBody::Request(transfer(1)));
+    let mut host = SingleHost::new(0);
+    let first = host.handle_caller(CallerBody::Request(transfer(1)));
     let expected = [(ResultCode::NoUpstream, RunOutcome::NotRun)];
     assert_eq!(refusals(&first), expected);
-    let copy = host.caller(CallerBody::Request(transfer(1)));
+    let copy = host.handle_caller(CallerBody::Request(transfer(1)));
     assert_eq!(refusals(&copy), expected);
 }
 
@@ -238,16 +246,16 @@
 
 #[test]
 fn test_cancel_of_sent_request_needs_proof() {
-    // A tenant cancels a renewal, is told that it was not run, and finds the old card dead: the
-    // upstream had started it just before the cancellation arrived.
+    // Guards against a caller that is told that its cancelled request did not run although the
+    // upstream started it just before the cancellation arrived.
     let cases = [
         CancelCase {
-            name: "the upstream proves it",
+            name: "the upstream confirms that it did not start it",
             reply: |_tag| Some(not_started(NotStartedReason::Cancelled)),
             refusals: &[(ResultCode::Cancelled, RunOutcome::NotRun)],
         },
         CancelCase {
-            name: "a new process at the address does not know it",
+            name: "a new process at the address does not know the request",
             reply: |_tag| Some(not_started(NotStartedReason::WrongUpstream)),
             refusals: &[(ResultCode::Cancelled, RunOutcome::Unknown)],
         },
@@ -257,45 +265,46 @@
             refusals: &[(ResultCode::Cancelled, RunOutcome::Unknown)],
         },
         CancelCase {
-            name: "it had started",
+            name: "the request had started",
             reply: |_tag| Some(UpstreamBody::Started),
             refusals: &[(ResultCode::Cancelled, RunOutcome::Unknown)],
         },
         CancelCase {
-            name: "its answer arrives",
+            name: "the response arrives",
             reply: |tag| Some(part(tag, b"x")),
             refusals: &[],
         },
     ];
     for case in cases {
-        let mut host = OneHost::new(3);
+        let mut host = SingleHost::new(3);
         let tag = host.run(transfer(1));
-        let mut actions = host.caller(CallerBody::Cancel { request: 1 });
+        let mut actions = host.handle_caller(CallerBody::Cancel { request: 1 });
         if let Some(body) = (case.reply)(tag) {
-            actions.extend(host.upstream(tag, body));
+            actions.extend(host.handle_upstream(tag, body));
         }
-        actions.extend(host.pass(Duration::from_millis(700)));
+        actions.extend(host.advance_time(Duration::from_millis(700)));
         assert_eq!(refusals(&actions), case.refusals, "{}", case.name);
     }
 }
 
 #[test]
 fn test_refusal_of_sent_request_needs_proof() {
-    let mut host = OneHost::new(3);
+    let mut host = SingleHost::new(3);
     let tag = host.run(transfer(1));
-    let shed = host.upstream(tag, not_started(NotStartedReason::Shed));
+    let shed = host.handle_upstream(tag, not_started(NotStartedReason::Shed));
     let expected = [(ResultCode::UpstreamShed, RunOutcome::NotRun)];
     assert_eq!(refusals(&shed), expected);
     host.run(transfer(2));
-    let overdue = host.pass(Duration::from_millis(1_100));
+    let overdue = host.advance_time(Duration::from_millis(1_100));
     let expected = [(ResultCode::DeadlinePassed, RunOutcome::Unknown)];
     assert_eq!(refusals(&overdue), expected);
 }
 
 #[test]
 fn test_refusal_of_idempotent_request_without_claim_is_unknown() {
-    // A caller is told that its query was not run, though another host of another view ran it.
-    let mut host = OneHost::new(0);
+    // Guards against a caller that is told that its query did not run although a host with another
+    // member list ran it.
+    let mut host = SingleHost::new(0);
     let now = host.now;
     host.core = crate::world::host_core_at(now, 1);
     let config = crate::world::ledger_config(1, 0).compile().unwrap();
@@ -304,39 +313,40 @@
         idempotent: true,
         ..transfer(1)
     };
-    let actions = host.caller(CallerBody::Request(query));
+    let actions = host.handle_caller(CallerBody::Request(query));
     let expected = [(ResultCode::NoUpstream, RunOutcome::Unknown)];
     assert_eq!(refusals(&actions), expected);
 }
 
 #[test]
 fn test_request_with_extreme_times_does_no_harm() {
-    let mut host = OneHost::new(3);
+    let mut host = SingleHost::new(3);
     let request = RequestBody {
         age: Duration::from_millis(u64::MAX),
         remaining: Duration::from_millis(u64::MAX),
         ..transfer(1)
     };
-    let mut actions = host.caller(CallerBody::Request(request));
-    actions.extend(host.pass(Duration::from_millis(100)));
+    let mut actions = host.handle_caller(CallerBody::Request(request));
+    actions.extend(host.advance_time(Duration::from_millis(100)));
     let expected = [(ResultCode::OutcomeUnknown, RunOutcome::Unknown)];
     assert_eq!(refusals(&actions), expected);
 }
 
 #[test]
 fn test_request_asked_again_after_its_deadline_is_not_run_again() {
-    // A renewal is doubled: its caller heard nothing, was told that the outcome is unknown, and asks
-    // again with the same number, after the host has forgotten the request.
+    // Guards against a request that runs twice. Its caller got no response and was told that the
+    // outcome is unknown, and sends the request again under the same number after the host has
+    // removed the record.
     for pause in [2, 20, 40, 100] {
-        let mut host = OneHost::new(3);
+        let mut host = SingleHost::new(3);
         host.run(transfer(1));
-        host.pass(Duration::from_secs(pause));
+        host.advance_time(Duration::from_secs(pause));
         let again = RequestBody {
             age: Duration::from_secs(pause),
             ..transfer(1)
         };
-        let mut actions = host.caller(CallerBody::Request(again));
-        actions.extend(host.pass(Duration::from_millis(200)));
+        let mut actions = host.handle_caller(CallerBody::Request(again));
+        actions.extend(host.advance_time(Duration::from_millis(200)));
         let runs = |action: &HostAction| matches!(action, HostAction::ToUpstream { .. });
         assert!(!actions.iter().any(runs), "after {pause} s");
         assert_eq!(refusals(&actions)[0].1, RunOutcome::Unknown);
@@ -354,7 +364,7 @@
 fn test_peer_frame_is_dropped_and_counted() {
     let cases = [
         PeerCase {
-            name: "not in the list",
+            name: "not in the host list",
             sender: 9,
             hops: 1,
             code: ResultCode::PeerUnknown,
@@ -367,7 +377,7 @@
         },
     ];
     for case in cases {
-        let mut host = OneHost::new(3);
+        let mut host = SingleHost::new(3);
         let frame = PeerFrame {
             sender: case.sender,
             hops: case.hops,
@@ -383,13 +393,13 @@
     }
 }
 
-/// Sends every job to the same upstream, and again when it was not started.
-struct StubbornPolicy;
+/// Sends every request to the same upstream, and sends it again when it was not started.
+struct SameUpstreamPolicy;
 
-impl LoadPolicy for StubbornPolicy {
+impl LoadPolicy for SameUpstreamPolicy {
     fn configure(&mut self, _now: Instant, _config: &Arc<ConfigSnapshot>) {}
 
-    fn submit(&mut self, _now: Instant, job: LoadJob, decisions: &mut Vec<LoadDecision>) {
+    fn submit(&mut self, _now: Instant, job: SubmittedRequest, decisions: &mut Vec<LoadDecision>) {
         let key = job.key;
         decisions.push(LoadDecision::Send { key, upstream: 0 });
     }
@@ -398,10 +408,10 @@
         &mut self,
         _now: Instant,
         key: RequestKey,
-        end: JobEnd,
+        end: AttemptOutcome,
         decisions: &mut Vec<LoadDecision>,
     ) {
-        if matches!(end, JobEnd::NotStarted { .. }) {
+        if matches!(end, AttemptOutcome::NotStarted { .. }) {
             decisions.push(LoadDecision::Send { key, upstream: 0 });
         }
     }
@@ -434,10 +444,10 @@
     ];
     for case in cases {
         let now = Instant::now();
-        let core = lone_core_with(now, 1, Box::new(StubbornPolicy));
-        let mut host = OneHost { core, now };
+        let core = lone_core_with(now, 1, Box::new(SameUpstreamPolicy));
+        let mut host = SingleHost { core, now };
         let tag = host.run(transfer(1));
-        let actions = host.upstream(tag, not_started(case.reason));
+        let actions = host.handle_upstream(tag, not_started(case.reason));
         let retries: Vec<&HostAction> = actions
             .iter()
             .filter(|action| matches!(action, HostAction::CountRetry(_)))
--- a/lib/tests/test_service_policy.rs
+++ b/lib/tests/test_service_policy.rs
@@ -1,4 +1,4 @@
-//! Properties of the service policy over any order of events and any loss of messages.
+//! Properties of the service policy under any order of events and any loss of messages.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -13,10 +13,10 @@
 use lagoonproxy::ids::HostId;
 use lagoonproxy::ids::UpstreamId;
 use lagoonproxy::load_message::LoadMessage;
-use lagoonproxy::load_policy::JobEnd;
+use lagoonproxy::load_policy::AttemptOutcome;
 use lagoonproxy::load_policy::LoadDecision;
-use lagoonproxy::load_policy::LoadJob;
 use lagoonproxy::load_policy::LoadPolicy;
+use lagoonproxy::load_policy::SubmittedRequest;
 use lagoonproxy::load_settings::LoadSettings;
 use lagoonproxy::request_table::RequestKey;
 use lagoonproxy::result_code::ResultCode;
@@ -38,7 +38,7 @@
         caller: u8,
         pinned: Option<UpstreamId>,
         idempotent: bool,
-        patience_ms: u64,
+        timeout_ms: u64,
     },
     Deliver(usize),
     Drop(usize),
@@ -59,13 +59,13 @@
         10u64..2_000,
     );
     prop_oneof![
-        6 => submit.prop_map(|(host, caller, pinned, idempotent, patience_ms)| {
-            PolicyStep::Submit { host, caller, pinned, idempotent, patience_ms }
+        6 => submit.prop_map(|(host, caller, pinned, idempotent, timeout_ms)| {
+            PolicyStep::Submit { host, caller, pinned, idempotent, timeout_ms }
         }),
         12 => any::<usize>().prop_map(PolicyStep::Deliver),
         1 => any::<usize>().prop_map(PolicyStep::Drop),
         1 => any::<usize>().prop_map(PolicyStep::Repeat),
-        5 => (any::<usize>(), 0u8..4).prop_map(|(job, end)| PolicyStep::End(job, end)),
+        5 => (any::<usize>(), 0u8..4).prop_map(|(request, end)| PolicyStep::End(request, end)),
         1 => any::<usize>().prop_map(PolicyStep::Withdraw),
         3 => (1u64..300).prop_map(PolicyStep::Pass),
         1 => (0..HOSTS, 0..UPSTREAMS).prop_map(|(host, id)| PolicyStep::Drain(host, id)),
@@ -74,25 +74,26 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum JobState {
+enum RequestState {
     Waiting,
     Running,
     Over,
 }
 
-struct TrackedJob {
+struct TrackedRequest {
     host: HostId,
-    job: LoadJob,
-    state: JobState,
+    request: SubmittedRequest,
+    state: RequestState,
 }
 
-/// Four hosts, the messages under way between them, and what each job's caller would see.
+/// Four hosts, the messages in transit between them, and the state of each request as its caller
+/// sees it.
 struct PolicyWorld {
     now: Instant,
     plan: ClusterPlan,
     policies: Vec<ServicePolicy>,
     configs: Vec<Arc<ConfigSnapshot>>,
-    jobs: BTreeMap<RequestKey, TrackedJob>,
+    requests: BTreeMap<RequestKey, TrackedRequest>,
     messages: Vec<(HostId, HostId, LoadMessage)>,
     version: u64,
 }
@@ -117,7 +118,7 @@
             policies: (0..HOSTS).map(policy).collect(),
             configs: vec![config; HOSTS as usize],
             plan,
-            jobs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             messages: Vec::new(),
             version: 1,
         }
@@ -131,29 +132,34 @@
         let mut decisions = Vec::new();
         call(&mut self.policies[host as usize], self.now, &mut decisions);
         for decision in decisions {
-            self.take(host, decision);
+            self.apply(host, decision);
         }
     }
 
-    fn take(&mut self, host: HostId, decision: LoadDecision) {
+    fn apply(&mut self, host: HostId, decision: LoadDecision) {
         match decision {
             LoadDecision::Send { key, upstream } => {
-                let tracked = self.jobs.get_mut(&key).unwrap();
-                assert_eq!((tracked.host, tracked.state), (host, JobState::Waiting));
-                assert!(tracked.job.pinned.is_none_or(|pinned| pinned == upstream));
-                if tracked.job.pinned.is_none() {
+                let tracked = self.requests.get_mut(&key).unwrap();
+                assert_eq!((tracked.host, tracked.state), (host, RequestState::Waiting));
+                assert!(
+                    tracked
+                        .request
+                        .pinned
+                        .is_none_or(|pinned| pinned == upstream)
+                );
+                if tracked.request.pinned.is_none() {
                     let entry = &self.configs[host as usize].upstreams[&upstream];
                     assert_eq!(entry.state, UpstreamState::Active);
                 }
-                tracked.state = JobState::Running;
+                tracked.state = RequestState::Running;
             }
             LoadDecision::Refuse {
                 key, retry_after, ..
             } => {
-                let tracked = self.jobs.get_mut(&key).unwrap();
-                assert_eq!((tracked.host, tracked.state), (host, JobState::Waiting));
+                let tracked = self.requests.get_mut(&key).unwrap();
+                assert_eq!((tracked.host, tracked.state), (host, RequestState::Waiting));
                 assert!(retry_after > Duration::ZERO);
-                tracked.state = JobState::Over;
+                tracked.state = RequestState::Over;
             }
             LoadDecision::Tell {
                 host: peer,
@@ -172,8 +178,8 @@
                 caller,
                 pinned,
                 idempotent,
-                patience_ms,
-            } => self.submit(host, caller, pinned, idempotent, patience_ms),
+                timeout_ms,
+            } => self.submit(host, caller, pinned, idempotent, timeout_ms),
             PolicyStep::Deliver(index) => self.deliver(index, true),
             PolicyStep::Repeat(index) => self.deliver(index, false),
             PolicyStep::Drop(index) => {
@@ -181,9 +187,9 @@
                     self.messages.remove(index % self.messages.len());
                 }
             }
-            PolicyStep::End(index, end) => self.end_some(index, end),
+            PolicyStep::End(index, end) => self.end_one(index, end),
             PolicyStep::Withdraw(index) => {
-                if let Some(key) = self.some_job(index, JobState::Waiting) {
+                if let Some(key) = self.nth_request(index, RequestState::Waiting) {
                     self.withdraw(key);
                 }
             }
@@ -202,10 +208,10 @@
         caller: u8,
         pinned: Option<UpstreamId>,
         idempotent: bool,
-        patience_ms: u64,
+        timeout_ms: u64,
     ) {
-        let number = self.jobs.len() as u64;
-        let job = LoadJob {
+        let number = self.requests.len() as u64;
+        let request = SubmittedRequest {
             key: RequestKey {
                 flow: number.into(),
                 request: number,
@@ -213,16 +219,16 @@
             caller: IpAddr::V4(Ipv4Addr::new(10, 0, 0, caller)),
             service: SERVICE,
             pinned,
-            deadline: self.now + Duration::from_millis(patience_ms),
+            deadline: self.now + Duration::from_millis(timeout_ms),
             idempotent,
         };
-        let tracked = TrackedJob {
+        let tracked = TrackedRequest {
             host,
-            job: job.clone(),
-            state: JobState::Waiting,
+            request: request.clone(),
+            state: RequestState::Waiting,
         };
-        self.jobs.insert(job.key, tracked);
-        self.call(host, |policy, now, out| policy.submit(now, job, out));
+        self.requests.insert(request.key, tracked);
+        self.call(host, |policy, now, out| policy.submit(now, request, out));
     }
 
     fn deliver(&mut self, index: usize, once: bool) {
@@ -235,65 +241,68 @@
             false => self.messages[index].clone(),
         };
         self.call(host, |policy, now, out| {
-            policy.take_message(now, sender, &message, out);
+            policy.handle_message(now, sender, &message, out);
         });
     }
 
-    fn some_job(&self, index: usize, state: JobState) -> Option<RequestKey> {
-        let keys = self.jobs.iter().filter(|(_key, job)| job.state == state);
-        let keys: Vec<RequestKey> = keys.map(|(key, _job)| *key).collect();
+    fn nth_request(&self, index: usize, state: RequestState) -> Option<RequestKey> {
+        let keys = self
+            .requests
+            .iter()
+            .filter(|(_key, request)| request.state == state);
+        let keys: Vec<RequestKey> = keys.map(|(key, _request)| *key).collect();
         let count = keys.len().max(1);
         keys.get(index % count).copied()
     }
 
-    fn end_some(&mut self, index: usize, end: u8) {
-        let Some(key) = self.some_job(index, JobState::Running) else {
+    fn end_one(&mut self, index: usize, end: u8) {
+        let Some(key) = self.nth_request(index, RequestState::Running) else {
             return;
         };
         let retry_after = Duration::from_millis(20);
         let ends = [
-            JobEnd::Answered,
-            JobEnd::NotStarted { retry_after },
-            JobEnd::Lost,
-            JobEnd::Cancelled,
+            AttemptOutcome::Answered,
+            AttemptOutcome::NotStarted { retry_after },
+            AttemptOutcome::Lost,
+            AttemptOutcome::Cancelled,
         ];
         self.end(key, ends[usize::from(end)]);
     }
 
-    fn end(&mut self, key: RequestKey, end: JobEnd) {
-        let tracked = self.jobs.get_mut(&key).unwrap();
+    fn end(&mut self, key: RequestKey, end: AttemptOutcome) {
+        let tracked = self.requests.get_mut(&key).unwrap();
         let host = tracked.host;
-        let may_repeat = tracked.job.idempotent && self.now < tracked.job.deadline;
+        let may_repeat = tracked.request.idempotent && self.now < tracked.request.deadline;
         tracked.state = match end {
-            JobEnd::NotStarted { .. } => JobState::Waiting,
-            JobEnd::Lost if may_repeat => JobState::Waiting,
-            _ => JobState::Over,
+            AttemptOutcome::NotStarted { .. } => RequestState::Waiting,
+            AttemptOutcome::Lost if may_repeat => RequestState::Waiting,
+            _ => RequestState::Over,
         };
         self.call(host, |policy, now, out| policy.end(now, key, end, out));
     }
 
     fn withdraw(&mut self, key: RequestKey) {
-        let tracked = self.jobs.get_mut(&key).unwrap();
-        tracked.state = JobState::Over;
+        let tracked = self.requests.get_mut(&key).unwrap();
+        tracked.state = RequestState::Over;
         let host = tracked.host;
         self.call(host, |policy, now, out| policy.withdraw(now, key, out));
     }
 
-    /// Lets time pass, and ends what is overdue as the core does.
+    /// Advances the time and ends overdue requests as the core does.
     fn pass(&mut self, time: Duration) {
         self.now += time;
         for host in 0..HOSTS {
             self.call(host, |policy, now, out| policy.tick(now, out));
         }
-        let overdue = self.jobs.iter().filter(|(_key, tracked)| {
-            tracked.state != JobState::Over && tracked.job.deadline <= self.now
+        let overdue = self.requests.iter().filter(|(_key, tracked)| {
+            tracked.state != RequestState::Over && tracked.request.deadline <= self.now
         });
-        let overdue: Vec<RequestKey> = overdue.map(|(key, _job)| *key).collect();
+        let overdue: Vec<RequestKey> = overdue.map(|(key, _request)| *key).collect();
         for key in overdue {
-            match self.jobs[&key].state {
-                JobState::Waiting => self.withdraw(key),
-                JobState::Running => self.end(key, JobEnd::Lost),
-                JobState::Over => {}
+            match self.requests[&key].state {
+                RequestState::Waiting => self.withdraw(key),
+                RequestState::Running => self.end(key, AttemptOutcome::Lost),
+                RequestState::Over => {}
             }
         }
     }
@@ -310,7 +319,7 @@
         self.call(host, |policy, now, out| policy.tick(now, out));
     }
 
-    /// Lets everything come to an end.
+    /// Runs until all requests have ended.
     fn settle(&mut self) {
         for _tick in 0..600 {
             self.pass(TICK);
@@ -318,7 +327,7 @@
             while !self.messages.is_empty() {
                 self.deliver(0, true);
                 delivered += 1;
-                assert!(delivered < 10_000, "hosts talk without end");
+                assert!(delivered < 10_000, "hosts exchange messages without end");
             }
         }
     }
@@ -327,19 +336,20 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
     #[test]
-    fn test_every_job_ends_once_and_nothing_leaks(steps in vec(policy_step(), 1..150)) {
-        // A caller waits for ever, or a slot is never used again: a message was lost, came twice or
-        // late, a keeper changed, an upstream drained, and someone kept a record of it.
+    fn test_every_request_ends_once_and_nothing_leaks(steps in vec(policy_step(), 1..150)) {
+        // Guards against requests that never end and slots that are never freed because a host kept
+        // a stale record: after a lost, duplicated or late message, a change of allocator, or a
+        // drain.
         let mut world = PolicyWorld::new();
         for step in steps {
             world.step(step);
         }
         world.settle();
-        for (key, tracked) in &world.jobs {
-            prop_assert_eq!(tracked.state, JobState::Over, "job {:?}", key);
+        for (key, tracked) in &world.requests {
+            prop_assert_eq!(tracked.state, RequestState::Over, "request {:?}", key);
         }
         for policy in &world.policies {
-            prop_assert_eq!(policy.job_count(), 0);
+            prop_assert_eq!(policy.request_count(), 0);
             prop_assert_eq!(policy.queued_count(), 0);
             prop_assert_eq!(policy.grant_count(), 0);
         }
@@ -347,9 +357,10 @@
 }
 
 #[test]
-fn test_lost_idempotent_job_is_never_called_not_run() {
-    // A renewal ran, its answer was lost, and the repetition is refused. A caller told that it was
-    // not run would renew again; so the refusal must say that nobody can tell.
+fn test_lost_idempotent_request_is_never_reported_not_run() {
+    // An idempotent request ran, its response was lost, and the retry is refused. A caller that is
+    // told the request did not run would send it again, so the refusal must report an unknown
+    // outcome.
     let mut world = PolicyWorld::new();
     for host in 1..HOSTS {
         let view = world.plan.host_view(&[1, 2, 3]);
@@ -361,8 +372,8 @@
         policy.learn_hosts(now, &alone.host_view(&[]));
     });
     world.submit(0, 1, None, true, 2_000);
-    let key = *world.jobs.keys().next().unwrap();
-    assert_eq!(world.jobs[&key].state, JobState::Running);
+    let key = *world.requests.keys().next().unwrap();
+    assert_eq!(world.requests[&key].state, RequestState::Running);
     for id in 0..UPSTREAMS {
         world.drain(0, id);
     }
@@ -374,7 +385,7 @@
     let policy = &mut world.policies[0];
     policy.configure(world.now, &config);
     let mut decisions = Vec::new();
-    policy.end(world.now, key, JobEnd::Lost, &mut decisions);
+    policy.end(world.now, key, AttemptOutcome::Lost, &mut decisions);
     policy.tick(world.now + Duration::from_millis(1_950), &mut decisions);
     let codes = decisions.iter().filter_map(|decision| match decision {
         LoadDecision::Refuse { code, .. } => Some(*code),
@@ -383,9 +394,9 @@
     assert_eq!(codes.collect::<Vec<_>>(), vec![ResultCode::OutcomeUnknown]);
 }
 
-/// Operators drain an upstream that an inspector's session is established on. The session's next
-/// request is refused, over and over, until the session breaks: the policy takes it for new work.
-/// Other callers' requests never go there any more.
+/// Guards against refusing the requests of an established flow whose upstream drains: the policy
+/// would treat them as new work until the flow breaks. Requests of other callers must no longer go
+/// to that upstream.
 #[test]
 fn test_drained_upstream_keeps_its_flows_and_gets_nothing_new() {
     const DRAINED: UpstreamId = 2;
@@ -394,21 +405,23 @@
         world.drain(host, DRAINED);
     }
     world.submit(0, 1, Some(DRAINED), false, 1_000);
-    for _job in 0..UPSTREAMS * 8 {
+    for _request in 0..UPSTREAMS * 8 {
         world.submit(1, 2, None, false, 1_000);
     }
     while !world.messages.is_empty() {
         world.deliver(0, true);
     }
-    // That no other job was sent to it is checked at each decision of the world.
-    let states = world.jobs.values().map(|tracked| tracked.state);
-    assert_eq!(states.clone().next(), Some(JobState::Running));
-    let running = states.filter(|state| *state == JobState::Running).count();
+    // `PolicyWorld::apply` checks at each decision that no other request is sent to the upstream.
+    let states = world.requests.values().map(|tracked| tracked.state);
+    assert_eq!(states.clone().next(), Some(RequestState::Running));
+    let running = states
+        .filter(|state| *state == RequestState::Running)
+        .count();
     assert!(running > 1, "others are served elsewhere");
 }
 
-/// Operators change a selector so that it no longer matches the upstream of an established session.
-/// Nobody gives away that upstream's slots any more, and the session's requests find no keeper.
+/// A changed selector no longer matches the upstream of an established flow. Nobody allocates that
+/// upstream's slots any more, and the flow's requests must not fail for lack of an allocator.
 #[test]
 fn test_deselected_upstream_keeps_its_flows() {
     const DESELECTED: UpstreamId = 2;
@@ -420,16 +433,16 @@
     let config = Arc::new(config);
     world.call(0, |policy, now, _out| policy.configure(now, &config));
     world.submit(0, 1, Some(DESELECTED), false, 1_000);
-    let tracked = world.jobs.values().next().unwrap();
-    assert_eq!(tracked.state, JobState::Running);
+    let tracked = world.requests.values().next().unwrap();
+    assert_eq!(tracked.state, RequestState::Running);
 }
 
-/// An entry host leaves, and for a moment the others disagree on who gives away an upstream's slots.
-/// A session's request asks a host that does not keep that upstream, and is refused as if the
-/// upstream were gone.
+/// When an entry host leaves, the others briefly disagree on who allocates an upstream's slots. A
+/// flow's request then reaches a host that does not allocate that upstream, and must not be refused
+/// as if the upstream were deregistered.
 #[test]
-fn test_keeper_with_another_view_does_not_refuse_flows() {
-    /// In the other zone than host 0, so that another host keeps it.
+fn test_allocator_with_different_config_does_not_refuse_flows() {
+    /// In another zone than host 0, so that another host allocates its slots.
     const PINNED: UpstreamId = 1;
     let mut world = PolicyWorld::new();
     for host in 0..HOSTS {
@@ -447,7 +460,7 @@
     while !world.messages.is_empty() {
         world.deliver(0, true);
     }
-    for tracked in world.jobs.values() {
-        assert_eq!(tracked.state, JobState::Running);
+    for tracked in world.requests.values() {
+        assert_eq!(tracked.state, RequestState::Running);
     }
 }
--- a/packetd/tests/test_packet_changes.rs
+++ b/packetd/tests/test_packet_changes.rs
@@ -151,9 +151,9 @@
     let old = cell.upstreams.remove(0);
     let key = registration_key(&old);
     old.end().await;
-    let heir = cell.start_upstream(9, 1).await;
+    let successor = cell.start_upstream(9, 1).await;
     cell.store.remove(&key);
-    cell.register(&heir, "certs", "ready");
+    cell.register(&successor, "certs", "ready");
     cell.hosts[0]
         .wait_for_metric("lagoon_packet_through", |through| through >= 104.0)
         .await;
@@ -161,7 +161,7 @@
         .request(&mut flow, b"second", Duration::from_secs(1))
         .await;
     assert!(answer.is_err(), "nobody may answer for the old upstream");
-    let tally = heir.tally();
+    let tally = successor.tally();
     assert_eq!(
         (tally.openings, tally.requests, tally.unknown),
         (0, 0, 0),
