--- a/bench/src/packet_cost.rs
+++ b/bench/src/packet_cost.rs
@@ -149,7 +149,7 @@
                     updated_at: Some(now + Duration::from_millis(round)),
                 };
             }
-            table.learn_loads(&FlowCosts::default());
+            table.update_weights(&FlowCosts::default());
         }
         let room = ContentionState {
             pressure: 900,
--- a/packet/src/admission/admission_pressure.rs
+++ b/packet/src/admission/admission_pressure.rs
@@ -16,7 +16,7 @@
 use crate::admission::class_admission::PressureRamp;
 use crate::ids::ClassRank;
 use crate::load::load_state::REQUEST_LOAD;
-use crate::routes::route_table::MOST_CLASSES;
+use crate::routes::route_table::MAX_CLASSES;
 
 /// Number of transmissions of a SYN that are counted separately, because each has a different
 /// decrease of pressure.
@@ -37,7 +37,7 @@
 const DECAY_PER_INTERVAL: f64 = 1.0 / 16.0;
 
 /// Flows by class and by the copy number that decreases the pressure.
-type SynCounts = [[f64; COUNTED_COPIES]; MOST_CLASSES];
+type SynCounts = [[f64; COUNTED_COPIES]; MAX_CLASSES];
 
 /// Bisection steps over the range of pressures. They leave an uncertainty of 1.
 const BISECTIONS: u32 = 14;
@@ -68,7 +68,7 @@
     /// service is contended.
     pub fn record(&mut self, now: Instant, rank: ClassRank, copy: u32) {
         self.advance(now);
-        let class = usize::from(rank).min(MOST_CLASSES - 1);
+        let class = usize::from(rank).min(MAX_CLASSES - 1);
         let copy = (copy as usize).min(COUNTED_COPIES - 1);
         self.intervals[0].counts[class][copy] += 1.0;
     }
@@ -161,7 +161,7 @@
         let admitted: f64 = window.iter().map(|syns| admitted_at(syns.pressure)).sum();
         let mean_admitted = admitted / window.len() as f64;
         let budget = mean_admitted / growth * rate_factor(service_pressure, config);
-        let ends = (0..MOST_CLASSES).map(|rank| ramps(rank as ClassRank).end);
+        let ends = (0..MAX_CLASSES).map(|rank| ramps(rank as ClassRank).end);
         let max_decrease = config.copy_decrease * (COUNTED_COPIES as u32 - 1);
         let (mut low, mut high) = (0, ends.max().unwrap_or_default() + max_decrease);
         for _bisection in 0..BISECTIONS {
--- a/packet/src/admission/class_demand.rs
+++ b/packet/src/admission/class_demand.rs
@@ -6,13 +6,13 @@
 
 use crate::ids::ClassRank;
 use crate::ids::ServiceIndex;
-use crate::routes::route_table::MOST_CLASSES;
+use crate::routes::route_table::MAX_CLASSES;
 
 /// Time of the last new flow or request of each class of each service.
 #[derive(Debug, Default)]
 pub struct ClassDemand {
     /// Indexed by service, then by rank; `None` for a class without any demand so far.
-    last_demands: Vec<[Option<Instant>; MOST_CLASSES]>,
+    last_demands: Vec<[Option<Instant>; MAX_CLASSES]>,
 }
 
 /// The rank of a class among the classes of its service that have demand.
@@ -20,12 +20,12 @@
 pub struct DemandRank {
     /// Number of more urgent classes with demand.
     pub rank: ClassRank,
-    /// Number of classes with demand, including this one; from 1 to [`MOST_CLASSES`].
+    /// Number of classes with demand, including this one; from 1 to [`MAX_CLASSES`].
     pub classes: u8,
 }
 
 impl ClassDemand {
-    /// Records a new flow or a request of a class. Ranks of [`MOST_CLASSES`] and above count as the
+    /// Records a new flow or a request of a class. Ranks of [`MAX_CLASSES`] and above count as the
     /// last rank.
     pub fn record(&mut self, now: Instant, service: ServiceIndex, rank: ClassRank) {
         let index = service as usize;
@@ -64,5 +64,5 @@
 }
 
 fn class_index(rank: ClassRank) -> usize {
-    usize::from(rank).min(MOST_CLASSES - 1)
+    usize::from(rank).min(MAX_CLASSES - 1)
 }
--- a/packet/src/core_events.rs
+++ b/packet/src/core_events.rs
@@ -68,7 +68,7 @@
             upstream: record.name.clone(),
             zone: record.zone.clone(),
             flows: record.flows,
-            heard_ago: time_since(now, record.silence.last_response()),
+            heard_ago: time_since(now, record.failure_detector.last_response()),
             hedged,
             dispatched,
             version: self.version,
@@ -106,8 +106,8 @@
             service: head.service,
             upstream: record.name.clone(),
             waited,
-            heard_ago: time_since(now, record.silence.last_response()),
-            attempts: record.silence.attempts(),
+            heard_ago: time_since(now, record.failure_detector.last_response()),
+            attempts: record.failure_detector.attempts(),
         });
     }
 
@@ -145,9 +145,9 @@
             upstream: record.name.clone(),
             zone: record.zone.clone(),
             change,
-            attempts: record.silence.attempts(),
+            attempts: record.failure_detector.attempts(),
             answers: record.answers.counts(),
-            heard_ago: time_since(now, record.silence.last_response()),
+            heard_ago: time_since(now, record.failure_detector.last_response()),
             through: self.view.through(),
         });
     }
--- a/packet/src/core_load.rs
+++ b/packet/src/core_load.rs
@@ -51,7 +51,7 @@
     pub(crate) fn tick_load(&mut self, now: Instant, output: &mut PacketOutput) {
         self.load
             .tick(now, &self.peers, &mut self.upstreams, &mut output.events);
-        self.upstreams.learn_loads(self.flow_tracker.costs());
+        self.upstreams.update_weights(self.flow_tracker.costs());
         self.tick_spill(now, output);
         self.admission.tick(now);
     }
@@ -137,7 +137,7 @@
         room: ContentionState,
         second: UpstreamIndex,
     ) -> bool {
-        let is_probe = self.upstreams.get(second).silence.wants_probe(now);
+        let is_probe = self.upstreams.get(second).failure_detector.wants_probe(now);
         !room.is_contended || is_probe || self.admission.spend_hedge()
     }
 
--- a/packet/src/core_reading.rs
+++ b/packet/src/core_reading.rs
@@ -17,7 +17,7 @@
 use crate::state::store_feed::ListPage;
 use crate::state::store_feed::StoreFault;
 use crate::state::store_feed::WatchBatch;
-use crate::upstreams::restored_upstreams::RestoredEntry;
+use crate::upstreams::restored_upstreams::RestoreOutcome;
 use crate::upstreams::upstream_record::RegistrationState;
 
 /// Interval at which a host that is not the reader of its zone checks whether it has become one.
@@ -37,7 +37,7 @@
         self.record_merge(&outcome, output);
         if outcome.crosses_era {
             self.record_era_change(before, update.whole, output);
-            self.upstreams.extend_lapses(now);
+            self.upstreams.restart_grace_times(now);
             self.synced_since = None;
         }
         for change in &outcome.changes {
@@ -284,8 +284,8 @@
         match change {
             StateChange::Upstream(entry) => {
                 let (index, change) = match self.upstreams.register_restored(now, entry) {
-                    RestoredEntry::Registered(index) => (index, UpstreamChange::Registered),
-                    RestoredEntry::Held(index) => (index, UpstreamChange::Held),
+                    RestoreOutcome::Registered(index) => (index, UpstreamChange::Registered),
+                    RestoreOutcome::Held(index) => (index, UpstreamChange::Held),
                 };
                 self.record_upstream(now, index, change, output);
             }
@@ -294,7 +294,7 @@
                     self.record_upstream(now, index, UpstreamChange::Missing, output);
                 }
             }
-            StateChange::Restored(zone) => self.upstreams.hold_evacuation(now, zone),
+            StateChange::Restored(zone) => self.upstreams.start_evacuation_grace(now, zone),
             StateChange::Routes(_) | StateChange::Evacuated(..) => {
                 self.apply(now, change, true, output);
             }
--- a/packet/src/flows/flow_tracker.rs
+++ b/packet/src/flows/flow_tracker.rs
@@ -202,7 +202,10 @@
         let half_open_flow = self.table.half_open.remove(&key);
         if let Some(half_open_flow) = &half_open_flow {
             flow_load::release_attempts(half_open_flow, upstreams);
-            seen.recovered = upstreams.get_mut(index).silence.record_response(now);
+            seen.recovered = upstreams
+                .get_mut(index)
+                .failure_detector
+                .record_response(now);
         }
         let costs_config = upstreams.config().costs;
         if head.kind == PacketKind::Abort {
@@ -442,7 +445,7 @@
     record.acked = head.ack;
     seen.recovered |= upstreams
         .get_mut(record.upstream)
-        .silence
+        .failure_detector
         .record_response(now);
     seen.answered = record
         .waiting_since
@@ -510,7 +513,7 @@
     seen.failed = is_short;
     let answers = &mut upstreams.get_mut(record.upstream).answers;
     if is_short {
-        answers.erred(now);
+        answers.returned_error(now);
     } else {
         answers.served(now);
     }
@@ -537,7 +540,7 @@
     }
     record.classification = RequestClassification::Done;
     let upstream = upstreams.get_mut(record.upstream);
-    upstream.answers.unanswered(now, sent);
+    upstream.answers.timed_out(now, sent);
     1
 }
 
--- a/packet/src/flows/route_stats.rs
+++ b/packet/src/flows/route_stats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::flows::moving_mean::MovingMean;
-use crate::health::answer_record::AnswerSize;
+use crate::health::outlier_detector::ResponseSizeMean;
 use crate::policy_config::LoadConfig;
 
 /// Minimum number of pauses before an idle threshold is derived. In a burst, they accumulate within
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouteStats {
     /// Sizes of the responses.
-    pub answers: AnswerSize,
+    pub answers: ResponseSizeMean,
     /// Pauses within flows in use.
     pub pauses: PauseEstimate,
     /// Times from a request to its response.
--- a/packet/src/health/failure_detector.rs
+++ b/packet/src/health/failure_detector.rs
@@ -1,12 +1,12 @@
-//! Passive failure detection: whether an upstream responds, from callers' packets alone.
+//! Passive failure detection: infers from the callers' packets whether an upstream responds.
 //!
-//! Load pattern: an upstream goes dark (power, a cut cable, a cut zone) while its registration
-//! still says ready, for the three heartbeats until the store drops it. Upstreams answer callers
-//! directly, so a host sees no answer and no refusal; and since a dark upstream's flows stop, it
-//! looks idle and a choice by load sends it everything new. What a host does see: an
-//! acknowledgement that grows, or a flow that opens, proves life; a packet that a caller sends
-//! again, with no proof of life from that upstream since its first copy, is an attempt without an
-//! answer. The bound on how many may be out at once stands in [`crate::selection::upstream_selection`].
+//! After a power failure or a cut link, a dead upstream stays registered as ready for three
+//! heartbeats, until the store removes it. Upstreams respond to callers directly, so that hosts see
+//! no response and no rejection. The flows of a dead upstream stop, so that it appears idle, and
+//! selection by load would send it all new flows. An acknowledgement number that grows, or a flow
+//! that is established, is a response. A retransmission of a packet, without a response from the
+//! upstream since the packet was first sent, is an unanswered attempt.
+//! [`crate::selection::upstream_selection`] bounds how many upstreams are ejected.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -18,68 +18,72 @@
 /// The responses and unanswered attempts of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct FailureDetector {
-    /// Its last response, to this host or another local one.
+    /// Last response seen by this host or another host of its zone.
     last_response: Option<Instant>,
-    /// The same, to this host alone.
+    /// Last response seen by this host.
     own_response: Option<Instant>,
-    /// When the first of the attempts without an answer was sent; later than `last_response`.
-    silent_since: Option<Instant>,
+    /// When the earliest of the unanswered attempts was sent; later than `last_response`. `None`
+    /// without attempts.
+    unanswered_since: Option<Instant>,
+    /// Number of unanswered attempts.
     attempts: u32,
-    /// The caller of the first of them.
+    /// Caller of the first unanswered attempt.
     first_caller: Option<SocketAddrV4>,
-    /// Whether another caller's attempt failed as well.
+    /// Whether the unanswered attempts belong to more than one caller.
     several_callers: bool,
-    /// When the last of them was seen.
+    /// When the latest unanswered attempt was detected.
     last_failed: Option<Instant>,
+    /// Ejection after consecutive unanswered attempts.
     outlier: OutlierRecord,
-    /// When an ejected upstream may be probed.
+    /// Earliest time of the next probe while the upstream is ejected; `None` if there was none.
     next_probe: Option<Instant>,
 }
 
 impl FailureDetector {
-    /// Its last response to this host.
+    /// Returns the time of the last response seen by this host.
     pub fn own_response(&self) -> Option<Instant> {
         self.own_response
     }
 
-    /// Its last response to this host, or to another that reported it.
+    /// Returns the time of the last response seen by this host or reported by another host.
     pub fn last_response(&self) -> Option<Instant> {
         self.last_response
     }
 
-    /// Unanswered attempts since then.
+    /// Returns the number of unanswered attempts since the last response.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Whether new flows should avoid it.
+    /// Whether the upstream is ejected: new flows avoid it until a probe is answered.
     pub fn is_ejected(&self) -> bool {
         self.outlier.is_ejected() || self.outlier.is_on_probation()
     }
 
-    /// Whether it is in doubt: it has not responded yet, or left an attempt unanswered.
-    pub fn is_doubtful(&self) -> bool {
+    /// Whether the upstream is suspected of failure: it has not responded yet, or has left an
+    /// attempt unanswered.
+    pub fn is_suspected(&self) -> bool {
         self.last_response.is_none() || self.attempts > 0
     }
 
-    /// Whether it is dead, so that its flows are to be reset.
+    /// Whether the upstream is dead, so that its flows are to be reset.
     pub fn is_dead(&self, config: &DetectorConfig, now: Instant) -> bool {
-        let long = self
-            .silent_since
+        let long_silence = self
+            .unanswered_since
             .is_some_and(|since| now.saturating_duration_since(since) >= config.min_dead_silence);
-        let enough = self.attempts >= config.dead_attempts && self.several_callers;
-        self.is_ejected() && enough && long && self.is_fresh(config, now)
+        let enough_attempts = self.attempts >= config.dead_attempts && self.several_callers;
+        self.is_ejected() && enough_attempts && long_silence && self.has_recent_attempt(config, now)
     }
 
-    fn forget_attempts(&mut self) {
+    fn clear_attempts(&mut self) {
         self.attempts = 0;
-        self.silent_since = None;
+        self.unanswered_since = None;
         self.first_caller = None;
         self.several_callers = false;
     }
 
-    /// Whether the last attempt without an answer was seen of late.
-    fn is_fresh(&self, config: &DetectorConfig, now: Instant) -> bool {
+    /// Whether the latest unanswered attempt still counts.
+    fn has_recent_attempt(&self, config: &DetectorConfig, now: Instant) -> bool {
         self.last_failed
             .is_some_and(|failed| now.saturating_duration_since(failed) <= config.attempt_lifetime)
     }
@@ -94,33 +98,35 @@
         self.next_probe = Some(now + config.probe_interval);
     }
 
-    /// Records a response to this host; true if the upstream was ejected.
+    /// Records a response seen by this host; true if the upstream was ejected until now.
     pub fn record_response(&mut self, now: Instant) -> bool {
-        let was_avoided = self.is_ejected();
+        let was_ejected = self.is_ejected();
         self.own_response = Some(now);
         self.last_response = Some(now);
-        if self.attempts > 0 || was_avoided {
-            self.forget_attempts();
+        if self.attempts > 0 || was_ejected {
+            self.clear_attempts();
             self.outlier.answered();
             self.next_probe = None;
         }
-        was_avoided
+        was_ejected
     }
 
-    /// Records a response to another host at that time. Attempts that began later still count.
-    pub fn remote_response(&mut self, at: Instant) {
-        if self.last_response.is_some_and(|sign| sign >= at) {
+    /// Records a response that another host saw at `at`. If all unanswered attempts were sent after
+    /// it, they still count.
+    pub fn peer_response(&mut self, at: Instant) {
+        if self.last_response.is_some_and(|response| response >= at) {
             return;
         }
         self.last_response = Some(at);
-        if self.silent_since.is_some_and(|since| since <= at) {
-            self.forget_attempts();
+        if self.unanswered_since.is_some_and(|since| since <= at) {
+            self.clear_attempts();
             self.outlier.answered();
             self.next_probe = None;
         }
     }
 
-    /// Records an unanswered attempt of a caller's flow, sent at `sent`; true if it ejects the upstream.
+    /// Records an unanswered attempt of a caller's flow, sent at `sent`; true if it ejects the
+    /// upstream.
     pub fn attempt_failed(
         &mut self,
         config: &DetectorConfig,
@@ -129,17 +135,17 @@
         caller: SocketAddrV4,
     ) -> bool {
         let too_soon = now.saturating_duration_since(sent) < config.min_retransmission_age;
-        if too_soon || self.last_response.is_some_and(|sign| sign >= sent) {
+        if too_soon || self.last_response.is_some_and(|response| response >= sent) {
             return false;
         }
-        if !self.is_fresh(config, now) {
-            self.forget_attempts();
+        if !self.has_recent_attempt(config, now) {
+            self.clear_attempts();
         }
         let first = *self.first_caller.get_or_insert(caller);
         self.several_callers |= first != caller;
         self.attempts += 1;
         self.last_failed = Some(now);
-        self.silent_since = Some(self.silent_since.map_or(sent, |since| since.min(sent)));
+        self.unanswered_since = Some(self.unanswered_since.map_or(sent, |since| since.min(sent)));
         if !self.is_ejected() && self.outlier.lost(config.ejection_attempts) {
             self.outlier.eject(now, config.ejection);
             return true;
@@ -147,7 +153,8 @@
         false
     }
 
-    /// Resets the detector: this host was frozen, or the upstream is another process.
+    /// Resets the detector after a stall of this host or a restart of the upstream. The times of
+    /// the last responses are kept.
     pub fn reset(&mut self) {
         *self = Self {
             last_response: self.last_response,
@@ -156,7 +163,7 @@
         };
     }
 
-    /// Ends an avoidance whose time is over.
+    /// Puts the upstream on probation when its ejection time is over, so that it can be probed.
     pub fn tick(&mut self, now: Instant) {
         self.outlier.tick(now);
     }
--- a/packet/src/health/mod.rs
+++ b/packet/src/health/mod.rs
@@ -1,4 +1,4 @@
-//! Failure detection and outlier detection of upstreams.
+//! Detection of dead and failing upstreams from the packets of their callers.
 
-pub mod answer_record;
 pub mod failure_detector;
+pub mod outlier_detector;
--- a/packet/src/load/load_report.rs
+++ b/packet/src/load/load_report.rs
@@ -20,7 +20,7 @@
 use crate::load::zone_load::ZoneLoadEntry;
 use crate::peers::peer_datagram::MAX_DATAGRAM_BYTES;
 use crate::routes::route_config::RequestPriority;
-use crate::routes::route_table::MOST_CLASSES;
+use crate::routes::route_table::MAX_CLASSES;
 
 /// Length of the format version and the variant that precede the content of a datagram.
 const DATAGRAM_HEADER_BYTES: usize = 2;
@@ -169,7 +169,7 @@
             let listed = service.upstreams.iter().map(|(_tag, counts)| counts);
             let listed_time: u128 = listed.clone().map(|counts| u128::from(counts.time)).sum();
             let sum = &service.requests;
-            let is_plausible = service.classes.len() <= MOST_CLASSES
+            let is_plausible = service.classes.len() <= MAX_CLASSES
                 && has_plausible_time(sum)
                 && listed.clone().all(has_plausible_time)
                 && listed_time <= u128::from(sum.time);
@@ -214,7 +214,7 @@
                 }
             }
             let is_plausible = (1..=self.reporters).contains(&service.reporters)
-                && service.classes.len() <= MOST_CLASSES
+                && service.classes.len() <= MAX_CLASSES
                 && u128::from(service.pressure) <= limit
                 && service.shed_share <= 1000;
             if !is_plausible {
--- a/packet/src/load/report_store.rs
+++ b/packet/src/load/report_store.rs
@@ -24,7 +24,7 @@
 use crate::load::request_meter::RequestCounts;
 use crate::load::request_meter::TIME_UNIT;
 use crate::routes::route_config::RequestPriority;
-use crate::routes::route_table::MOST_CLASSES;
+use crate::routes::route_table::MAX_CLASSES;
 use crate::upstreams::upstream_table::UpstreamTable;
 
 /// Maximum number of reports kept per host. A host sends fewer within the longest lifetime of
@@ -215,7 +215,7 @@
             service,
             reporters: self.reporters,
             shed_share: shed_share(rates.shed, rates.answered),
-            classes: classes.take(MOST_CLASSES).collect(),
+            classes: classes.take(MAX_CLASSES).collect(),
             ..ServiceDigest::default()
         }
     }
--- a/packet/src/load/request_meter.rs
+++ b/packet/src/load/request_meter.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::routes::route_config::RequestPriority;
-use crate::routes::route_table::MOST_CLASSES;
+use crate::routes::route_table::MAX_CLASSES;
 
 /// Unit of request times in counts and reports.
 pub const TIME_UNIT: Duration = Duration::from_micros(100);
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClassMeters {
     /// Distinct priorities in ascending order, that is in descending urgency.
-    meters: ArrayVec<ClassMeter, MOST_CLASSES>,
+    meters: ArrayVec<ClassMeter, MAX_CLASSES>,
 }
 
 impl RequestCounts {
@@ -199,7 +199,7 @@
         meters.map(|meter| (meter.priority, std::mem::take(&mut meter.unreported)))
     }
 
-    /// Returns the counters of a class. Beyond [`MOST_CLASSES`] classes, the least urgent ones
+    /// Returns the counters of a class. Beyond [`MAX_CLASSES`] classes, the least urgent ones
     /// share a counter.
     fn meter(&mut self, now: Instant, priority: RequestPriority) -> &mut ClassMeter {
         let found = self
@@ -207,7 +207,7 @@
             .binary_search_by_key(&priority, |meter| meter.priority);
         let position = match found {
             Ok(position) => position,
-            Err(position) if position >= MOST_CLASSES => MOST_CLASSES - 1,
+            Err(position) if position >= MAX_CLASSES => MAX_CLASSES - 1,
             Err(position) => {
                 self.merge_least_urgent();
                 let meter = ClassMeter {
--- a/packet/src/packet_action.rs
+++ b/packet/src/packet_action.rs
@@ -7,7 +7,7 @@
 use lagoonproxy::ids::ZoneName;
 use lagoonproxy::result_code::ResultCode;
 
-use crate::health::answer_record::AnswerCounts;
+use crate::health::outlier_detector::OutcomeCounts;
 use crate::ids::FlowTag;
 use crate::ids::ServiceName;
 use crate::ids::UpstreamName;
@@ -226,7 +226,7 @@
         /// Consecutive unanswered attempts.
         attempts: u32,
         /// Outcomes of its recent requests through the hosts of the zone.
-        answers: AnswerCounts,
+        answers: OutcomeCounts,
         /// Time since its last response; `None` before the first.
         heard_ago: Option<Duration>,
         /// The store's position up to which this host knows every change.
--- a/packet/src/packet_core.rs
+++ b/packet/src/packet_core.rs
@@ -204,9 +204,9 @@
     /// Expires and updates all state that depends on time. To be called several times a second.
     pub fn tick(&mut self, now: Instant, output: &mut PacketOutput) {
         self.detect_stall(now);
-        self.upstreams.learn_reports(self.peers.local_reports(now));
+        self.upstreams.merge_reports(self.peers.local_reports(now));
         let expired = self.upstreams.tick(now);
-        for index in expired.retired {
+        for index in expired.deregistered {
             self.record_upstream(now, index, UpstreamChange::Gone, output);
         }
         for index in expired.registered {
@@ -221,7 +221,7 @@
         for index in avoided {
             self.record_upstream(now, index, UpstreamChange::Avoided, output);
         }
-        for index in self.upstreams.judge_answers(now) {
+        for index in self.upstreams.detect_outliers(now) {
             let change = match self.upstreams.get(index).answers.is_failing() {
                 true => UpstreamChange::Failing,
                 false => UpstreamChange::Serving,
@@ -381,7 +381,8 @@
             self.upstreams.flow_placed(now, index);
             self.forward(head, index, output);
         }
-        let probed = second.filter(|second| self.upstreams.get(*second).silence.is_ejected());
+        let probed =
+            second.filter(|second| self.upstreams.get(*second).failure_detector.is_ejected());
         if let Some(second) = probed {
             self.upstreams.probe_sent(second, now);
         }
@@ -443,7 +444,7 @@
     fn no_upstream_code(&self, now: Instant, service: ServiceIndex) -> ResultCode {
         let evacuated = &self.upstreams.pool(service).evacuated;
         let mut members = evacuated.iter().map(|index| self.upstreams.get(*index));
-        if self.upstreams.has_warming(now, service) {
+        if self.upstreams.has_warming_upstreams(now, service) {
             ResultCode::UpstreamsWarming
         } else if members.any(UpstreamRecord::takes_flows) {
             ResultCode::ZoneEvacuated
@@ -525,15 +526,16 @@
         let record = self.upstreams.get(index);
         let former = matches!(record.registration, RegistrationState::Deregistered { .. });
         if former {
-            let last = record.silence.last_response();
+            let last = record.failure_detector.last_response();
             let answers = last.is_some_and(|last_response| {
                 now.saturating_duration_since(last_response) < MAX_DEREGISTERED_SILENCE
             });
             return !answers && self.synced_since.is_some();
         }
-        let is_silent = |record: &UpstreamRecord| record.silence.is_ejected();
+        let is_silent = |record: &UpstreamRecord| record.failure_detector.is_ejected();
         let config = &self.upstreams.config().detector;
-        record.silence.is_dead(config, now) && !is_panic(&self.upstreams, record.service, is_silent)
+        record.failure_detector.is_dead(config, now)
+            && !is_panic(&self.upstreams, record.service, is_silent)
     }
 
     fn forward(&self, head: &PacketHead, index: UpstreamIndex, output: &mut PacketOutput) {
--- a/packet/src/packet_status.rs
+++ b/packet/src/packet_status.rs
@@ -24,7 +24,7 @@
 use crate::routes::route_config::RequestPriority;
 use crate::routes::route_config::ServiceRoute;
 use crate::routes::route_config::ServiceShare;
-use crate::routes::route_table::MOST_CLASSES;
+use crate::routes::route_table::MAX_CLASSES;
 use crate::state::store_position::StorePosition;
 use crate::upstreams::upstream_record::RegistrationState;
 use crate::upstreams::upstream_record::UpstreamRecord;
@@ -234,10 +234,10 @@
 }
 
 fn class_statuses(priorities: &BTreeSet<RequestPriority>) -> Vec<ClassStatus> {
-    let mut statuses: Vec<ClassStatus> = Vec::with_capacity(MOST_CLASSES);
+    let mut statuses: Vec<ClassStatus> = Vec::with_capacity(MAX_CLASSES);
     for priority in priorities {
         let priority = published_priority(*priority);
-        if statuses.len() < MOST_CLASSES {
+        if statuses.len() < MAX_CLASSES {
             statuses.push(ClassStatus {
                 rank: statuses.len() as ClassRank,
                 priorities: vec![priority],
@@ -285,14 +285,14 @@
         RegistrationState::Lapsed { .. } => "lapsed",
         RegistrationState::Deregistered { .. } => "deregistered",
     };
-    let last_response = record.silence.last_response();
+    let last_response = record.failure_detector.last_response();
     UpstreamStatus {
         name: record.name.clone(),
         service: core.upstreams().pool(record.service).name.clone(),
         zone: record.zone.clone(),
         address: record.address,
         registration: registration.into(),
-        avoided: record.silence.is_ejected(),
+        avoided: record.failure_detector.is_ejected(),
         failing: record.answers.is_failing(),
         flows: record.flows,
         waiting: record.waiting,
--- a/packet/src/peers/peer_heartbeat.rs
+++ b/packet/src/peers/peer_heartbeat.rs
@@ -14,7 +14,7 @@
 use serde_with::DurationMilliSeconds;
 use serde_with::serde_as;
 
-use crate::health::answer_record::AnswerCounts;
+use crate::health::outlier_detector::OutcomeCounts;
 use crate::ids::FlowTag;
 use crate::state::store_position::StorePosition;
 
@@ -86,12 +86,12 @@
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub heard_ago: Option<Duration>,
     /// Results of its requests through the sender.
-    pub answers: AnswerReport,
+    pub answers: OutcomeReport,
 }
 
 /// Results of an upstream's recent requests through the sender; each count saturates at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AnswerReport {
+pub struct OutcomeReport {
     /// Number of successful requests.
     pub served: u8,
     /// Number of failed requests.
@@ -104,11 +104,11 @@
     /// The upstream's flow tag.
     pub tag: FlowTag,
     /// Results of its requests through the sender.
-    pub answers: AnswerReport,
+    pub answers: OutcomeReport,
 }
 
-impl From<AnswerCounts> for AnswerReport {
-    fn from(counts: AnswerCounts) -> Self {
+impl From<OutcomeCounts> for OutcomeReport {
+    fn from(counts: OutcomeCounts) -> Self {
         Self {
             served: u8::try_from(counts.served).unwrap_or(u8::MAX),
             failed: u8::try_from(counts.failed).unwrap_or(u8::MAX),
@@ -116,8 +116,8 @@
     }
 }
 
-impl From<AnswerReport> for AnswerCounts {
-    fn from(report: AnswerReport) -> Self {
+impl From<OutcomeReport> for OutcomeCounts {
+    fn from(report: OutcomeReport) -> Self {
         Self {
             served: report.served.into(),
             failed: report.failed.into(),
--- a/packet/src/policy_config.rs
+++ b/packet/src/policy_config.rs
@@ -89,7 +89,7 @@
     pub probe_interval: Duration,
 }
 
-/// Parameters of [`crate::health::answer_record`].
+/// Parameters of [`crate::health::outlier_detector`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutlierConfig {
     /// Time to the first byte of a response after which a request counts as failed.
@@ -102,7 +102,7 @@
     /// An upstream is ejected if at least one in this many requests fails.
     pub failure_divisor: u32,
     /// How long an upstream stays ejected after its counts no longer require it.
-    pub left_out: Duration,
+    pub ejection: Duration,
     /// Numerator and denominator of the fraction of a route's usual response size below which a
     /// response counts as an error.
     pub short_response_ratio: (u64, u64),
@@ -179,7 +179,7 @@
             contended_timeout_factor: 8,
             min_failures: 3,
             failure_divisor: 4,
-            left_out: Duration::from_secs(5),
+            ejection: Duration::from_secs(5),
             short_response_ratio: (3, 10),
             min_responses: 16,
         }
--- a/packet/src/routes/mod.rs
+++ b/packet/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration and its lookup.
+//! The configuration that operators publish, and the route table built from it.
 
 pub mod route_config;
 pub mod route_table;
--- a/packet/src/routes/route_config.rs
+++ b/packet/src/routes/route_config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: which service answers at which address.
+//! The configuration that operators publish: the services behind each address.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,47 +12,47 @@
 
 use crate::ids::ServiceName;
 
-/// One configuration, whole.
+/// One version of the whole configuration.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteConfig {
-    /// Grows with each configuration, not always by one.
+    /// Version; increases with each configuration, not always by one.
     pub version: Version,
-    /// Every route; no two have the same address.
+    /// All routes; addresses are unique.
     pub routes: Vec<ServiceRoute>,
-    /// How long a flow may be silent before it may be forgotten.
+    /// How long a flow may have no packets before its record may be dropped.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub flow_idle: Duration,
-    /// The services whose upstreams state how they warm up; no two of the same name.
+    /// Warm-up of the services that publish one; service names are unique.
     pub warmups: Vec<ServiceWarmup>,
-    /// The services whose upstreams hold a limited number of connections; no two of the same name.
+    /// Connection limits of the services that publish one; service names are unique.
     pub connection_limits: Vec<ConnectionLimit>,
-    /// The fields of routes and services that were left unset because of their content; at most one entry for
-    /// each field and reason.
+    /// Fields of routes and services that are ignored because of their content; at most one entry
+    /// per field and reason.
     pub field_faults: Vec<FieldFault>,
 }
 
-/// Why a published field is not used.
+/// Why a published field is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FieldFaultReason {
-    /// It is not there.
+    /// The field is missing.
     Missing,
-    /// It has another type, or is out of range.
+    /// The value has the wrong type or is out of range.
     Invalid,
 }
 
-/// A field that some routes or services of a configuration do not state, or state wrongly.
+/// A field that is missing or invalid in some routes or services of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FieldFault {
-    /// The field, as published.
+    /// Name of the field, as published.
     pub field: SmolStr,
-    /// Why it is not used.
+    /// Why the field is ignored.
     pub reason: FieldFaultReason,
-    /// The first route or service concerned.
+    /// Name of the first route or service with this fault.
     pub owner: SmolStr,
-    /// The beginning of the text that stands there; empty if it is missing.
+    /// Beginning of the published value; empty if the field is missing.
     pub value: SmolStr,
-    /// Routes or services concerned.
+    /// Number of routes or services with this fault.
     pub count: u32,
 }
 
@@ -60,75 +60,78 @@
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceWarmup {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// How long an upstream warms up.
+    /// Duration of the warm-up.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub duration: Duration,
-    /// Thousandths of a request that one bears a second meanwhile; 0 if the operators state no rate.
+    /// Requests per second, in thousandths, that an upstream can handle while it warms up; 0 if
+    /// the operators publish no rate.
     pub rate: u64,
 }
 
-/// How urgent the requests of a route are. The most urgent is the smallest.
+/// Priority of a route's requests; a smaller value is more urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestPriority(pub u32);
 
 impl RequestPriority {
-    /// The priority of routes that publish none.
+    /// Priority of routes that publish none.
     pub const LEAST_URGENT: Self = Self(u32::MAX);
 }
 
-/// Whether a request may be repeated.
+/// Kind of a route's requests: whether they may be repeated, and whether responses are large.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// The operators do not say.
+    /// The operators publish no kind.
     #[default]
     Unknown,
-    /// Idempotent.
+    /// Requests are idempotent.
     Idempotent,
-    /// Idempotent, with a large response.
+    /// Requests are idempotent and have large responses.
     Download,
-    /// Must run once at most.
+    /// Requests must be executed at most once.
     NonIdempotent,
 }
 
-/// The most connections that one upstream of a service holds.
+/// Connection limit of the upstreams of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionLimit {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Open flows of one upstream; at least 1.
+    /// Maximum number of open flows of one upstream; at least 1.
     pub connections: u32,
 }
 
-/// Where new flows of one address go.
+/// Route of the new flows to one address.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRoute {
-    /// The address that callers use.
+    /// Address that callers connect to.
     pub address: SocketAddrV4,
-    /// The services that share the new flows; never empty, and the weights' sum is above 0.
+    /// Services that share the new flows; never empty, and the sum of the weights is greater than
+    /// 0.
     pub shares: Vec<ServiceShare>,
-    /// How soon a request should be answered, counted from its caller's first packet; `None` if the
-    /// operators do not say.
+    /// Target response time, counted from the caller's first packet; `None` if the operators
+    /// publish none.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(default)]
     pub target: Option<Duration>,
-    /// How urgent its requests are; [`RequestPriority::LEAST_URGENT`] if the operators do not say.
+    /// Priority of its requests; [`RequestPriority::LEAST_URGENT`] if the operators publish none.
     pub priority: RequestPriority,
-    /// Whether its requests may be repeated.
+    /// Whether its requests may be repeated, and whether their responses are large.
     pub kind: RequestKind,
-    /// How long callers wait for a response, from their first packet; `None` if the operators do not say.
+    /// How long callers wait for a response, from their first packet; `None` if the operators
+    /// publish no timeout.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(default)]
     pub timeout: Option<Duration>,
 }
 
-/// The share of one service in the new flows of a route.
+/// Share of one service in the new flows of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceShare {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its part, against the sum of all parts of the route.
+    /// Weight, relative to the sum of the weights of the route.
     pub weight: u32,
 }
--- a/packet/src/routes/route_table.rs
+++ b/packet/src/routes/route_table.rs
@@ -1,4 +1,5 @@
-//! Finds the services of an address, shares new flows among them by weight, and ranks the classes of requests.
+//! Looks up the services of an address, splits new flows among them by weight, and ranks the
+//! priority classes of each service.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,46 +14,47 @@
 use crate::routes::route_config::RouteConfig;
 use crate::upstreams::upstream_table::UpstreamTable;
 
-/// Most classes of a service that are told apart; less urgent ones share the last rank.
-pub const MOST_CLASSES: usize = 4;
+/// Maximum number of priority classes per service; less urgent priorities share the last rank.
+pub const MAX_CLASSES: usize = 4;
 
-/// The class of one route's requests at one service.
+/// Priority class of a route's requests at one of its services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestClass {
-    /// Its rank; below `classes`.
+    /// Rank among the classes of the service, 0 being the most urgent; less than `classes`.
     pub rank: ClassRank,
-    /// Classes that the service has; from 1 to [`MOST_CLASSES`].
+    /// Number of classes of the service; from 1 to [`MAX_CLASSES`].
     pub classes: u8,
-    /// The priority that the operators published.
+    /// Priority of the route, as published by the operators.
     pub priority: RequestPriority,
 }
 
-/// One service of a route.
+/// Share of one service in the new flows of a route.
 #[derive(Clone, Copy, Debug)]
 struct RouteShare {
-    /// Upper end of its part of the weights.
+    /// Sum of the weights up to and including this share.
     end: u64,
     service: ServiceIndex,
     class: RequestClass,
 }
 
-/// One route in force.
+/// One route.
 #[derive(Debug)]
 struct RouteRecord {
-    /// Never empty; `end` ascends.
+    /// Shares with a weight above 0; never empty, `end` ascends.
     shares: Vec<RouteShare>,
     target: Option<Duration>,
     timeout: Option<Duration>,
 }
 
-/// The routes in force.
+/// The routes of the current configuration.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     routes: HashMap<SocketAddrV4, RouteRecord>,
 }
 
 impl RouteTable {
-    /// The routes of a configuration.
+    /// Creates the table of a configuration, and sets the priorities of the services that it leads
+    /// to in `upstreams`.
     pub fn new(config: &RouteConfig, upstreams: &mut UpstreamTable) -> Self {
         let priorities = service_priorities(config, upstreams);
         let mut routes = HashMap::with_capacity_and_hasher(config.routes.len(), Default::default());
@@ -89,26 +91,27 @@
         self.routes.contains_key(&address)
     }
 
-    /// How soon a request to this address should be answered, if the operators say so.
+    /// Returns the target response time of requests to this address, if the operators publish one.
     pub fn target(&self, address: SocketAddrV4) -> Option<Duration> {
         self.routes.get(&address)?.target
     }
 
-    /// The shortest time in which requests to a service should be answered, if the operators say so.
+    /// Returns the shortest target response time of the routes to a service, if the operators
+    /// publish one.
     pub fn service_target(&self, service: ServiceIndex) -> Option<Duration> {
-        let leads =
+        let leads_to_service =
             |route: &&RouteRecord| route.shares.iter().any(|share| share.service == service);
-        let routes = self.routes.values().filter(leads);
+        let routes = self.routes.values().filter(leads_to_service);
         routes.filter_map(|route| route.target).min()
     }
 
-    /// How long callers of this address wait for a response, if the operators say so.
+    /// Returns how long callers of this address wait for a response, if the operators publish it.
     pub fn timeout(&self, address: SocketAddrV4) -> Option<Duration> {
         self.routes.get(&address)?.timeout
     }
 
-    /// The service of a new flow, drawn by weight from a hash of the flow, so that every copy of
-    /// its opening packet goes to the same service.
+    /// Returns the service of a new flow, drawn by weight with a hash of the flow, so that each
+    /// retransmission of its SYN goes to the same service. `None` if the address has no route.
     pub fn service(&self, address: SocketAddrV4, flow_hash: u64) -> Option<ServiceIndex> {
         let shares = &self.routes.get(&address)?.shares;
         let sum = shares.last()?.end;
@@ -117,7 +120,8 @@
         share.map(|share| share.service)
     }
 
-    /// The class of requests to this address at one of its services; `None` if it does not lead there.
+    /// Returns the priority class of requests to this address at a service; `None` if no route of
+    /// this address leads to the service.
     pub fn class(&self, address: SocketAddrV4, service: ServiceIndex) -> Option<RequestClass> {
         let shares = &self.routes.get(&address)?.shares;
         let share = shares.iter().find(|share| share.service == service);
@@ -125,7 +129,7 @@
     }
 }
 
-/// The priorities of the routes that lead to each service.
+/// Returns the priorities of the routes that lead to each service.
 fn service_priorities(
     config: &RouteConfig,
     upstreams: &mut UpstreamTable,
@@ -143,15 +147,16 @@
     priorities
 }
 
+/// Returns the class of a priority at a service whose routes have `priorities`.
 fn request_class(
     priorities: &BTreeSet<RequestPriority>,
     priority: RequestPriority,
 ) -> RequestClass {
     let more_urgent = priorities.range(..priority).count();
-    let last = MOST_CLASSES - 1;
+    let last = MAX_CLASSES - 1;
     RequestClass {
         rank: more_urgent.min(last) as ClassRank,
-        classes: priorities.len().clamp(1, MOST_CLASSES) as u8,
+        classes: priorities.len().clamp(1, MAX_CLASSES) as u8,
         priority,
     }
 }
--- a/packet/src/selection/load_weight.rs
+++ b/packet/src/selection/load_weight.rs
@@ -275,6 +275,6 @@
     let Some(limit) = connection_limit else {
         return false;
     };
-    let connections = u64::from(record.open_flows()) + u64::from(record.flows_elsewhere);
+    let connections = u64::from(record.open_flows()) + u64::from(record.peer_flows);
     connections * 100 >= u64::from(limit) * config.connection_limit_percent
 }
--- a/packet/src/selection/upstream_selection.rs
+++ b/packet/src/selection/upstream_selection.rs
@@ -182,7 +182,7 @@
 ) -> Option<UpstreamIndex> {
     let config = &table.config().selection;
     let record = table.get(runner_up.index);
-    let suspected = config.hedges_suspected && table.get(first).silence.is_doubtful();
+    let suspected = config.hedges_suspected && table.get(first).failure_detector.is_suspected();
     let has_free_slot = record.requests(query.local_hosts) < record.slots;
     let is_uncontended = !query.room.is_contended;
     let healthy =
@@ -239,7 +239,7 @@
         let Some(preferred) = self.preferred else {
             return false;
         };
-        let suspected = table.get(preferred.index).silence.is_doubtful();
+        let suspected = table.get(preferred.index).failure_detector.is_suspected();
         let lacks_hedge = suspected && self.runner_up.is_none();
         !preferred.key.degraded && !preferred.key.saturated && !preferred.key.tried && !lacks_hedge
     }
@@ -268,7 +268,7 @@
                 continue;
             }
             let may_probe = !warming && table.admits_probe(query.now, record);
-            let wants_probe = may_probe && record.silence.wants_probe(query.now);
+            let wants_probe = may_probe && record.failure_detector.wants_probe(query.now);
             if wants_probe && !query.tried.contains(&index) {
                 self.probe = Some(index);
             }
@@ -425,7 +425,7 @@
         FLOW_LOAD
     };
     let flows = u64::from(record.flows)
-        + u64::from(record.flows_elsewhere)
+        + u64::from(record.peer_flows)
         + config.waiting_flows * u64::from(record.waiting);
     flows * flow_load / u64::from(record.slots)
 }
--- a/packet/src/upstreams/mod.rs
+++ b/packet/src/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Registered upstreams, as a host knows them.
+//! The upstreams that a host knows, their registrations, and evacuated zones.
 
 pub mod restored_upstreams;
 pub mod upstream_entry;
--- a/packet/src/upstreams/restored_upstreams.rs
+++ b/packet/src/upstreams/restored_upstreams.rs
@@ -1,7 +1,8 @@
-//! What a store that comes back from a copy has lost of upstreams and evacuations.
+//! Handles registrations and evacuations that are lost when the store is restored from a backup.
 //!
-//! It stands until it is written again, for a bounded time: a registration that is not listed, one that is listed in an
-//! older state than was applied, and an evacuation.
+//! The following stay in effect for a grace time, in which they are written again: a registration
+//! that the restored store does not list, one that it lists in an older state than the one applied,
+//! and an evacuation that it does not list.
 
 use std::time::Instant;
 
@@ -14,19 +15,20 @@
 use crate::upstreams::upstream_record::RegistrationState;
 use crate::upstreams::upstream_table::UpstreamTable;
 
-/// What became of a registration that a restored store lists.
+/// How a registration that a restored store lists was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestoredEntry {
-    /// It was applied.
+pub enum RestoreOutcome {
+    /// The registration was applied.
     Registered(UpstreamIndex),
-    /// It is older than what the upstream wrote last, and is held.
+    /// The registration is older than the one applied last, and is held for the grace time.
     Held(UpstreamIndex),
 }
 
 impl UpstreamTable {
-    /// Registers an upstream that a restored store lists, unless it has written something newer that the store
-    /// lost: that stands until it writes again, or for the grace time.
-    pub fn register_restored(&mut self, now: Instant, entry: &UpstreamEntry) -> RestoredEntry {
+    /// Applies a registration that a restored store lists. If the upstream has written a newer one,
+    /// which the store lost, the newer one stays in effect until the upstream writes again, or for
+    /// the grace time.
+    pub fn register_restored(&mut self, now: Instant, entry: &UpstreamEntry) -> RestoreOutcome {
         let known = self.by_name(&entry.name);
         match known.filter(|index| self.get(*index).supersedes(entry)) {
             Some(index) => {
@@ -34,14 +36,15 @@
                 let entry = entry.clone();
                 let held = Box::new(HeldRegistration { entry, until });
                 self.get_mut(index).held = Some(held);
-                RestoredEntry::Held(index)
+                RestoreOutcome::Held(index)
             }
-            None => RestoredEntry::Registered(self.register(now, entry)),
+            None => RestoreOutcome::Registered(self.register(now, entry)),
         }
     }
 
-    /// Lets a registration that a restored store does not list stand for the grace time, in which its upstream
-    /// writes it again; `None` if it was gone before.
+    /// Lapses a registration that a restored store does not list: it stays in effect for the grace
+    /// time, in which its upstream writes it again. Returns the upstream, or `None` if it is not
+    /// known or already deregistered.
     pub fn lapse_unlisted(&mut self, now: Instant, name: &UpstreamName) -> Option<UpstreamIndex> {
         let until = now + self.config.lapse.restored_grace;
         let index = self.by_name(name)?;
@@ -57,9 +60,9 @@
         Some(index)
     }
 
-    /// Gives everything that waits to be written again its whole grace time from now: the store has come back
-    /// from a copy once more, and may have lost it again.
-    pub fn extend_lapses(&mut self, now: Instant) {
+    /// Restarts the grace time of all lapsed and held registrations and of all evacuations that
+    /// expire, because the store was restored once more and may have lost them again.
+    pub fn restart_grace_times(&mut self, now: Instant) {
         let deadline = now + self.config.lapse.restored_grace;
         for record in &mut self.records {
             if let RegistrationState::Lapsed { until, .. } = &mut record.registration {
@@ -76,16 +79,17 @@
         }
     }
 
-    /// Lets an evacuation that a restored store does not list stand for the grace time, in which operators
-    /// request it again.
-    pub fn hold_evacuation(&mut self, now: Instant, zone: &ZoneName) {
+    /// Starts the grace time of an evacuation that a restored store does not list, in which
+    /// operators request it again.
+    pub fn start_evacuation_grace(&mut self, now: Instant, zone: &ZoneName) {
         let expires_at = now + self.config.lapse.evacuation_grace;
         if let Some(evacuation) = self.evacuated.get_mut(zone) {
             evacuation.expires_at = Some(expires_at);
         }
     }
 
-    /// Ends the evacuations that the store lost and that were not requested again; returns their zones.
+    /// Ends the evacuations whose grace time is over, because the store lost them and nobody
+    /// requested them again; returns their zones.
     pub fn expire_evacuations(&mut self, now: Instant) -> Vec<ZoneName> {
         let due = self.evacuated.iter().filter(|(_zone, evacuation)| {
             evacuation
--- a/packet/src/upstreams/upstream_entry.rs
+++ b/packet/src/upstreams/upstream_entry.rs
@@ -1,4 +1,4 @@
-//! What an upstream has registered about itself.
+//! The registration that an upstream writes to the store.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,38 +15,40 @@
 use crate::ids::UpstreamNumber;
 use crate::ids::WriteCount;
 
-/// Whether an upstream wants new flows.
+/// Whether an upstream accepts new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryState {
-    /// It takes new flows.
+    /// The upstream accepts new flows.
     Ready,
-    /// It is leaving: it keeps its flows and wants no new ones.
+    /// The upstream is stopping: it keeps its flows and accepts no new ones.
     Draining,
 }
 
-/// One upstream's registration.
+/// Registration of one upstream.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its name.
+    /// Name of the upstream, unique among the registered ones.
     pub name: UpstreamName,
-    /// The number that packets meant for it carry.
+    /// Number that precedes each packet forwarded to it.
     pub number: UpstreamNumber,
-    /// The one service whose flows it may take.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it takes packets. May belong to another upstream once this one has ended.
+    /// Address that packets are forwarded to. Another upstream may reuse it after this one has
+    /// ended.
     pub address: SocketAddrV4,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
-    /// Requests that it works on at a time; at least 1.
+    /// Number of requests that it processes concurrently; at least 1.
     pub slots: u32,
-    /// Whether it wants new flows.
+    /// Whether the upstream accepts new flows.
     pub state: EntryState,
-    /// How long it was still slow after its start when it wrote the entry.
+    /// Remaining warm-up time when the upstream wrote the registration.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub warmup_left: Duration,
-    /// When its process started, if it says so. A change means that it holds nothing of before.
+    /// Start time of its process; `None` if it does not publish one. A change means that it has
+    /// restarted and lost its state.
     pub born: Option<BornMillis>,
-    /// Which of its process's writes this is; a larger one is newer.
+    /// Number of this write among those of its process; a larger one is newer.
     pub write_count: WriteCount,
 }
--- a/packet/src/upstreams/upstream_record.rs
+++ b/packet/src/upstreams/upstream_record.rs
@@ -1,4 +1,4 @@
-//! One upstream as a host sees it: its registration, its flows here and what they tell.
+//! The record that a host keeps of one upstream: its registration, flows, load and health.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -6,8 +6,8 @@
 use lagoonproxy::ids::ZoneName;
 
 use crate::admission::warmup_admission::WarmupAdmission;
-use crate::health::answer_record::AnswerRecord;
 use crate::health::failure_detector::FailureDetector;
+use crate::health::outlier_detector::OutlierDetector;
 use crate::ids::BornMillis;
 use crate::ids::FlowTag;
 use crate::ids::ServiceIndex;
@@ -22,91 +22,92 @@
 /// The state of an upstream's registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationState {
-    /// It takes new flows.
+    /// The upstream accepts new flows.
     Ready,
-    /// It keeps its flows and takes no new ones.
+    /// The upstream keeps its flows and accepts no new ones.
     Draining,
-    /// The registration vanished without notice while the upstream responded, or was lost by the store; it stands
-    /// until the deadline, and the upstream then counts as deregistered.
+    /// The registration was removed while the upstream was ready and responding, or was lost when
+    /// the store was restored from a backup. It stays in use until the deadline.
     Lapsed {
-        /// When it counts as deregistered.
+        /// When the upstream counts as deregistered.
         until: Instant,
-        /// Whether it takes no new flows: it was draining.
+        /// Whether the upstream was draining and accepts no new flows.
         is_draining: bool,
     },
-    /// The registration is gone. Flows to which the upstream still responds go on.
+    /// The registration was removed. Flows to which the upstream still responds continue.
     Deregistered {
-        /// When its tag is forgotten, for no flow can be older.
+        /// When the record is removed: no flow of the upstream can be older than this.
         forget_at: Instant,
     },
 }
 
-/// A registration that is applied only if its upstream does not write again before the deadline. Within this
-/// time the store removes that of an upstream that is gone.
+/// An outdated registration that is applied only if its upstream does not write a newer one before
+/// the deadline. Until then the store has removed the registrations of upstreams that no longer
+/// exist.
 #[derive(Clone, Debug)]
 pub struct HeldRegistration {
-    /// The registration.
+    /// The outdated registration.
     pub entry: UpstreamEntry,
-    /// When it is applied.
+    /// When the registration is applied.
     pub until: Instant,
 }
 
-/// One upstream.
+/// One upstream, as this host knows it.
 #[derive(Clone, Debug)]
 pub struct UpstreamRecord {
-    /// Its name.
+    /// Name under which it is registered.
     pub name: UpstreamName,
-    /// The number that packets meant for it carry.
+    /// Number that precedes each packet forwarded to it.
     pub number: UpstreamNumber,
-    /// The tag of its flows; `None` if another upstream's name gives the same, so that this one
-    /// must not be given any.
+    /// Tag of its flows; `None` if the name of another upstream hashes to the same tag, so that
+    /// this upstream gets no flows.
     pub tag: Option<FlowTag>,
-    /// Where it takes packets.
+    /// Address that packets are forwarded to.
     pub address: SocketAddrV4,
-    /// The service whose flows it may take.
+    /// The service that it belongs to.
     pub service: ServiceIndex,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
     /// Whether it is in this host's zone.
     pub is_local: bool,
-    /// Requests that it works on at a time; at least 1.
+    /// Number of requests that it processes concurrently; at least 1.
     pub slots: u32,
-    /// The state of its registration.
+    /// State of its registration.
     pub registration: RegistrationState,
-    /// Which of its process's writes was applied last.
+    /// Write count of the registration that was applied last.
     pub write_count: WriteCount,
-    /// A registration that a restored store lists and that is older than the one applied last.
+    /// Registration listed by a restored store that is older than the one applied last.
     pub held: Option<Box<HeldRegistration>>,
-    /// Until when it is slow after its start.
+    /// End of its warm-up.
     pub warm_at: Instant,
-    /// How it gets new flows until then, if its service has a limit.
+    /// Limit on its new flows until then, if its service has one.
     pub warmup: WarmupAdmission,
-    /// When its process started.
+    /// Start time of its process; `None` if it does not publish one.
     pub born: Option<BornMillis>,
-    /// Flows that are in use or being opened there through this host.
+    /// Number of its flows through this host that are active or being opened.
     pub flows: u32,
-    /// Idle flows there through this host; not in `flows`.
+    /// Number of its idle flows through this host; not included in `flows`.
     pub idle: u32,
-    /// Those of `flows` that wait for an answer.
+    /// Number of the flows in `flows` that wait for a response.
     pub waiting: u32,
-    /// Flows that are being opened there through this host.
+    /// Number of the flows in `flows` that are being opened.
     pub opening: u32,
-    /// Flows that it has through the other hosts of this zone, as they last said.
-    pub flows_elsewhere: u32,
-    /// What hosts of the zone know of its load while its service is contended.
+    /// Number of its flows through the other hosts of this zone, as last reported.
+    pub peer_flows: u32,
+    /// Load through all hosts of the zone, measured while its service is contended.
     pub load: UpstreamLoad,
-    /// What this host has placed there since `load` was measured.
+    /// Load that this host has placed on it since `load` was measured.
     pub placed: PlacedLoad,
-    /// Its weight among the upstreams of a contended service, as it follows from measurements of `load`.
+    /// Weight among the upstreams of a contended service, smoothed over measurements of `load`.
     pub weight: MeasuredWeight,
-    /// Its failure detector.
-    pub silence: FailureDetector,
-    /// Its outlier detection.
-    pub answers: AnswerRecord,
+    /// Detection of an upstream that does not respond.
+    pub failure_detector: FailureDetector,
+    /// Detection of an upstream that fails requests.
+    pub answers: OutlierDetector,
 }
 
 impl UpstreamRecord {
-    /// Whether the registry allows new flows. Its zone may be evacuated all the same.
+    /// Whether the registration allows new flows. The zone may be evacuated nevertheless.
     pub fn takes_flows(&self) -> bool {
         let listed = matches!(
             self.registration,
@@ -119,7 +120,9 @@
         listed && self.tag.is_some()
     }
 
-    /// Whether a registration of it is older than the one applied last: a copy of the store may contain it.
+    /// Whether a listed registration is older than the one applied last. A store that was restored
+    /// from a backup may contain such registrations. One that is as old as the one applied last is
+    /// outdated too if the upstream has deregistered since.
     pub fn supersedes(&self, entry: &UpstreamEntry) -> bool {
         let is_gone = matches!(self.registration, RegistrationState::Deregistered { .. });
         match (self.born, entry.born) {
@@ -129,25 +132,26 @@
         }
     }
 
-    /// Requests that it has in progress, as far as can be told: those through this host and, in its own
-    /// zone, as many through each other host. What those say is half a second old, which is ten requests.
+    /// Estimates the requests in progress: those through this host and, if the upstream is in this
+    /// host's zone, as many through each other host of the zone. Reports of the other hosts are
+    /// half a second old, in which an upstream processes about ten requests.
     pub fn requests(&self, local_hosts: u32) -> u32 {
         let hosts = if self.is_local { local_hosts } else { 1 };
         (self.waiting + self.opening) * hosts
     }
 
-    /// Flows there through this host, active or idle.
+    /// Returns the number of its flows through this host, active or idle.
     pub fn open_flows(&self) -> u32 {
         self.flows + self.idle
     }
 
-    /// Whether this host has any flow there, active or idle.
+    /// Whether it has any flow through this host, active or idle.
     pub fn has_flows(&self) -> bool {
         self.open_flows() > 0
     }
 
-    /// Whether it is ejected, by the failure detector or as an outlier.
+    /// Whether it is ejected by the failure detector or the outlier detector.
     pub fn is_degraded(&self) -> bool {
-        self.silence.is_ejected() || self.answers.is_failing()
+        self.failure_detector.is_ejected() || self.answers.is_failing()
     }
 }
--- a/packet/src/upstreams/upstream_table.rs
+++ b/packet/src/upstreams/upstream_table.rs
@@ -1,4 +1,7 @@
-//! The upstreams that a host knows, by tag, by name and by service.
+//! The table of upstreams that a host knows, by flow tag, by name and by service.
+//!
+//! Records of deregistered upstreams are kept until no flow of theirs can still be open, so that
+//! packets of open flows are still forwarded.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -20,10 +23,10 @@
 use crate::ids::UpstreamIndex;
 use crate::ids::UpstreamName;
 use crate::load::load_report::service_tag;
-use crate::peers::peer_heartbeat::AnswerReport;
 use crate::peers::peer_heartbeat::FailureReport;
 use crate::peers::peer_heartbeat::MAX_FAILURE_REPORTS;
 use crate::peers::peer_heartbeat::MAX_UPSTREAM_REPORTS;
+use crate::peers::peer_heartbeat::OutcomeReport;
 use crate::peers::peer_heartbeat::UpstreamReport;
 use crate::policy_config::LapseConfig;
 use crate::policy_config::PolicyConfig;
@@ -40,57 +43,61 @@
 /// The upstreams of one service.
 #[derive(Clone, Debug)]
 pub struct ServicePool {
-    /// The service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Its tag in what hosts send each other.
+    /// Hash of the name in messages between hosts.
     pub tag: ServiceTag,
-    /// Its upstreams of this host's zone, in any registration state but deregistered.
+    /// Upstreams in this host's zone that are not deregistered; empty if the zone is evacuated.
     pub local: Vec<UpstreamIndex>,
-    /// The same of other zones.
+    /// Upstreams in other zones that are neither deregistered nor evacuated.
     pub remote: Vec<UpstreamIndex>,
-    /// The same of evacuated zones, this host's included; never in the other two.
+    /// Upstreams in evacuated zones, including this host's, that are not deregistered.
     pub evacuated: Vec<UpstreamIndex>,
-    /// How fast its upstreams get new flows while they warm up; `None` if that is not limited.
+    /// Limit on the new flows of upstreams that are warming up; `None` without a limit.
     pub warmup: Option<WarmupLimit>,
-    /// Whether its load exceeds what decisions in calm are made for; see [`crate::load`].
+    /// Whether placement and admission take its load into account; see [`crate::load`].
     pub is_contended: bool,
-    /// The priorities of the routes that lead to it, ascending.
+    /// Priorities of the routes that lead to it, in ascending order.
     pub priorities: Vec<RequestPriority>,
-    /// Requests in progress for each slot in this host's zone, in parts of [`crate::load::load_state::REQUEST_LOAD`],
-    /// raised while upstreams shed.
+    /// Requests in progress per slot in this host's zone, in parts of
+    /// [`crate::load::load_state::REQUEST_LOAD`], raised while upstreams shed.
     pub pressure: u32,
-    /// The most connections that one upstream holds; `None` if it is not published.
+    /// Maximum number of connections of one upstream; `None` if none is published.
     pub connection_limit: Option<u32>,
-    /// Mean weight of a slot of its local upstreams; above 0.
+    /// Mean weight per slot of its local upstreams; greater than 0.
     pub mean_weight: f64,
 }
 
-/// Every upstream that is registered, or was and may still have flows.
+/// Every upstream that is registered, or is deregistered and may still have flows.
 #[derive(Debug)]
 pub struct UpstreamTable {
     zone: ZoneName,
     max_flow_age: Duration,
     pub(crate) config: PolicyConfig,
-    /// Entries that `free` names hold an upstream that nothing refers to.
+    /// Records by [`UpstreamIndex`]. Those at indices in `free` are unused.
     pub(crate) records: Vec<UpstreamRecord>,
+    /// Indices of unused records.
     free: Vec<UpstreamIndex>,
+    /// Every record in use.
     by_name: HashMap<UpstreamName, UpstreamIndex>,
+    /// Every record in use that has a tag.
     by_tag: HashMap<FlowTag, UpstreamIndex>,
     pools: Vec<ServicePool>,
     pool_by_name: HashMap<ServiceName, ServiceIndex>,
     pub(crate) evacuated: EvacuatedZones,
 }
 
-/// Upstreams whose grace time has ended.
+/// Upstreams whose grace time has ended, as returned by [`UpstreamTable::tick`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExpiredUpstreams {
-    /// Their lapsed registrations now count as gone.
-    pub retired: Vec<UpstreamIndex>,
-    /// Their held registrations have been applied.
+    /// Upstreams whose lapsed registration has expired.
+    pub deregistered: Vec<UpstreamIndex>,
+    /// Upstreams whose held registration has been applied.
     pub registered: Vec<UpstreamIndex>,
 }
 
-/// The tag of an upstream's flows: alike on every host, whatever its view.
+/// Returns the tag of an upstream's flows. It depends on the name alone, so that all hosts compute
+/// the same tag.
 pub fn flow_tag(name: &UpstreamName) -> FlowTag {
     let hash = xxh3_64(name.as_bytes());
     let tag = (hash ^ (hash >> 32)) as FlowTag;
@@ -98,7 +105,8 @@
 }
 
 impl UpstreamTable {
-    /// An empty table of a host in `zone`, which remembers former upstreams for `max_flow_age`.
+    /// Returns the empty table of a host in `zone`. Records of deregistered upstreams are kept for
+    /// `max_flow_age`.
     pub fn new(zone: ZoneName, max_flow_age: Duration, config: PolicyConfig) -> Self {
         Self {
             zone,
@@ -114,32 +122,32 @@
         }
     }
 
-    /// The policy parameters.
+    /// Returns the policy parameters.
     pub fn config(&self) -> &PolicyConfig {
         &self.config
     }
 
-    /// The upstream with this tag, also a former one.
+    /// Returns the upstream with this tag, deregistered ones included.
     pub fn by_tag(&self, tag: FlowTag) -> Option<UpstreamIndex> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// The upstream with this name, also a former one.
+    /// Returns the upstream with this name, deregistered ones included.
     pub fn by_name(&self, name: &UpstreamName) -> Option<UpstreamIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// One upstream.
+    /// Returns the record of an upstream.
     pub fn get(&self, index: UpstreamIndex) -> &UpstreamRecord {
         &self.records[index as usize]
     }
 
-    /// One upstream, to change.
+    /// Returns the record of an upstream for modification.
     pub fn get_mut(&mut self, index: UpstreamIndex) -> &mut UpstreamRecord {
         &mut self.records[index as usize]
     }
 
-    /// The place of a service, which is given one if it has none.
+    /// Returns the index of a service; adds an empty pool if the service is new.
     pub fn service(&mut self, name: &ServiceName) -> ServiceIndex {
         if let Some(index) = self.pool_by_name.get(name) {
             return *index;
@@ -162,27 +170,30 @@
         index
     }
 
-    /// The upstreams of a service.
+    /// Returns the pool of a service.
     pub fn pool(&self, service: ServiceIndex) -> &ServicePool {
         &self.pools[service as usize]
     }
 
-    /// Every upstream in use, in the order of its place.
+    /// Returns every record in use, in no particular order.
     pub fn records(&self) -> impl Iterator<Item = &UpstreamRecord> {
         self.by_name.values().map(|index| self.get(*index))
     }
 
-    /// The places in use.
+    /// Returns the index of every record in use, in no particular order.
     pub fn indices(&self) -> impl Iterator<Item = UpstreamIndex> {
         self.by_name.values().copied()
     }
 
-    /// Adds or replaces a registration; returns its place.
+    /// Adds or replaces a registration; returns the index of the upstream.
+    ///
+    /// Resets failure and outlier detection if the start time or the address has changed, since the
+    /// name then belongs to another process.
     pub fn register(&mut self, now: Instant, entry: &UpstreamEntry) -> UpstreamIndex {
         let service = self.service(&entry.service);
         let index = match self.by_name(&entry.name) {
             Some(index) => {
-                self.leave_pool(index);
+                self.remove_from_pool(index);
                 index
             }
             None => self.insert(now, entry, service),
@@ -191,7 +202,7 @@
         let record = self.get_mut(index);
         let restarted = record.born != entry.born || record.address != entry.address;
         if restarted {
-            record.silence.reset();
+            record.failure_detector.reset();
             record.answers = Default::default();
         }
         record.number = entry.number;
@@ -209,16 +220,17 @@
             EntryState::Ready => RegistrationState::Ready,
             EntryState::Draining => RegistrationState::Draining,
         };
-        self.enter_pool(index);
+        self.add_to_pool(index);
         index
     }
 
-    /// The evacuated zones.
+    /// Returns the evacuated zones.
     pub fn evacuated(&self) -> &EvacuatedZones {
         &self.evacuated
     }
 
-    /// Open flows through this host to upstreams of each evacuated zone, active or idle.
+    /// Returns the number of open flows through this host, active or idle, to upstreams of each
+    /// evacuated zone.
     pub fn evacuated_flows(&self) -> BTreeMap<&ZoneName, u32> {
         let zones = self.evacuated.keys();
         let mut flows: BTreeMap<&ZoneName, u32> = zones.map(|zone| (zone, 0)).collect();
@@ -230,8 +242,8 @@
         flows
     }
 
-    /// Places no new flows in a zone until it is restored; a later request for the same zone only
-    /// changes its revision.
+    /// Evacuates a zone: it gets no new flows until it is restored. If it is already evacuated, the
+    /// revision is updated and the evacuation no longer expires.
     pub fn evacuate(&mut self, now: Instant, zone: &ZoneName, revision: Revision) {
         if let Some(evacuation) = self.evacuated.get_mut(zone) {
             evacuation.revision = revision;
@@ -247,8 +259,8 @@
         self.reassign_zone(zone);
     }
 
-    /// Places new flows in a zone again. Its upstreams may have become cold without saying so yet, so
-    /// that those with a limit warm up from now.
+    /// Ends the evacuation of a zone. Its upstreams may have become cold without having published
+    /// it, so that those of services with a warm-up limit warm up from now.
     pub fn restore(&mut self, now: Instant, zone: &ZoneName) {
         if self.evacuated.remove(zone).is_none() {
             return;
@@ -263,7 +275,7 @@
         }
     }
 
-    /// Replaces the limits of services whose upstreams warm up.
+    /// Replaces the warm-up limits of all services.
     pub fn set_warmup_limits<'a>(
         &mut self,
         limits: impl Iterator<Item = (&'a ServiceName, WarmupLimit)>,
@@ -277,7 +289,7 @@
         }
     }
 
-    /// Replaces the limits of connections.
+    /// Replaces the connection limits of all services.
     pub fn set_connection_limits(&mut self, limits: &[ConnectionLimit]) {
         for pool in &mut self.pools {
             pool.connection_limit = None;
@@ -288,12 +300,12 @@
         }
     }
 
-    /// Marks a service as contended, or not.
+    /// Sets whether a service is contended.
     pub fn set_contended(&mut self, service: ServiceIndex, is_contended: bool) {
         self.pools[service as usize].is_contended = is_contended;
     }
 
-    /// Sets the priorities of the routes that lead to a service, ascending.
+    /// Sets the priorities of the routes that lead to a service, in ascending order.
     pub fn set_priorities(&mut self, service: ServiceIndex, priorities: Vec<RequestPriority>) {
         self.pools[service as usize].priorities = priorities;
     }
@@ -303,29 +315,30 @@
         self.pools[service as usize].pressure = pressure;
     }
 
-    /// Every service's pool, in the order of its place.
+    /// Returns the pool of every service, by [`ServiceIndex`].
     pub fn pools(&self) -> &[ServicePool] {
         &self.pools
     }
 
-    /// Whether new flows to an upstream are limited because it warms up.
+    /// Whether new flows to an upstream are limited because it is warming up.
     pub fn is_warming(&self, now: Instant, record: &UpstreamRecord) -> bool {
         record.warm_at > now && self.pool(record.service).warmup.is_some()
     }
 
-    /// Whether an ejected upstream may be probed: it may have restarted cold, so that in a service with
-    /// a limit only the host that claims it does.
+    /// Whether this host may probe an ejected upstream. The upstream may have restarted cold, so
+    /// that in a service with a warm-up limit only the host that claims it may, within the limit.
     pub fn admits_probe(&self, now: Instant, record: &UpstreamRecord) -> bool {
         let limit = self.pool(record.service).warmup;
         limit.is_none() || record.warmup.admits(now)
     }
 
-    /// Whether any service limits the flows of upstreams that warm up.
+    /// Whether any service has a warm-up limit.
     pub fn has_warmup_limits(&self) -> bool {
         self.pools.iter().any(|pool| pool.warmup.is_some())
     }
 
-    /// Lets an upstream warm up from now: it answers again and may have restarted meanwhile.
+    /// Restarts the warm-up of an upstream that may have restarted, if its service has a warm-up
+    /// limit.
     pub fn restart_warmup(&mut self, now: Instant, index: UpstreamIndex) {
         let record = &mut self.records[index as usize];
         if let Some(limit) = self.pools[record.service as usize].warmup {
@@ -333,25 +346,26 @@
         }
     }
 
-    /// Whether a service has upstreams that would take flows if they were warm.
-    pub fn has_warming(&self, now: Instant, service: ServiceIndex) -> bool {
+    /// Whether a service has upstreams that accept new flows but are limited by their warm-up.
+    pub fn has_warming_upstreams(&self, now: Instant, service: ServiceIndex) -> bool {
         let pool = self.pool(service);
         let members = pool.local.iter().chain(&pool.remote);
         let mut records = members.map(|index| self.get(*index));
         records.any(|record| record.takes_flows() && self.is_warming(now, record))
     }
 
-    /// Decides which of the zone's upstreams that warm up, or are ejected, get their flows through this
-    /// host.
+    /// Updates which of the zone's warming or ejected upstreams this host claims; `claims` tells
+    /// whether it claims the upstream with a tag. A claimed upstream gets its new flows through
+    /// this host alone.
     pub fn claim_warmups(&mut self, now: Instant, claims: impl Fn(FlowTag) -> bool) {
         for record in &mut self.records {
-            let limited = record.warm_at > now || record.silence.is_ejected();
+            let limited = record.warm_at > now || record.failure_detector.is_ejected();
             record.warmup.is_claimed =
                 record.is_local && limited && record.tag.is_some_and(&claims);
         }
     }
 
-    /// Records that a new flow was placed.
+    /// Records a new flow of an upstream against the warm-up limit of its service.
     pub fn flow_placed(&mut self, now: Instant, index: UpstreamIndex) {
         let record = &mut self.records[index as usize];
         if let Some(limit) = self.pools[record.service as usize].warmup {
@@ -359,10 +373,11 @@
         }
     }
 
-    /// Removes a registration.
+    /// Removes a registration; returns the upstream, or `None` if the name is not known.
     ///
-    /// One of a ready upstream that responded just now counts as lapsed first: registrations lapse while the
-    /// store is down, and all upstreams would else be out of use when it returns.
+    /// The registration of a ready upstream that has responded recently lapses first. Registrations
+    /// expire while the store is down, and all upstreams would otherwise be out of use when it
+    /// returns.
     pub fn unregister(&mut self, now: Instant, name: &UpstreamName) -> Option<UpstreamIndex> {
         let index = self.by_name(name)?;
         let LapseConfig {
@@ -373,9 +388,9 @@
         let record = self.get_mut(index);
         record.held = None;
         let answers = record
-            .silence
+            .failure_detector
             .last_response()
-            .is_some_and(|sign| now.saturating_duration_since(sign) < max_response_age);
+            .is_some_and(|response| now.saturating_duration_since(response) < max_response_age);
         if record.registration == RegistrationState::Ready && answers {
             let until = now + grace;
             record.registration = RegistrationState::Lapsed {
@@ -383,38 +398,38 @@
                 is_draining: false,
             };
         } else {
-            self.retire(now, index);
+            self.mark_deregistered(now, index);
         }
         Some(index)
     }
 
-    /// Expires lapsed and deregistered upstreams, and applies registrations that were held; returns those whose
-    /// grace time has ended.
+    /// Expires lapsed registrations, applies held ones and removes the records of deregistered
+    /// upstreams that can have no open flow; returns the upstreams whose grace time has ended.
     pub fn tick(&mut self, now: Instant) -> ExpiredUpstreams {
         let mut expired = ExpiredUpstreams::default();
-        let mut forgotten = Vec::new();
+        let mut unused = Vec::new();
         let mut due = Vec::new();
         for index in self.by_name.values().copied() {
             let record = &mut self.records[index as usize];
-            record.silence.tick(now);
+            record.failure_detector.tick(now);
             due.extend(record.held.take_if(|held| held.until <= now));
             match record.registration {
                 RegistrationState::Lapsed { until, .. } if until <= now => {
-                    expired.retired.push(index);
+                    expired.deregistered.push(index);
                 }
                 RegistrationState::Deregistered { forget_at }
                     if forget_at <= now && !record.has_flows() && record.held.is_none() =>
                 {
-                    forgotten.push(index);
+                    unused.push(index);
                 }
                 _ => {}
             }
         }
-        for index in &expired.retired {
-            self.retire(now, *index);
+        for index in &expired.deregistered {
+            self.mark_deregistered(now, *index);
         }
-        for index in forgotten {
-            self.forget(index);
+        for index in unused {
+            self.remove_record(index);
         }
         for held in due {
             expired.registered.push(self.register(now, &held.entry));
@@ -422,8 +437,9 @@
         expired
     }
 
-    /// Runs outlier detection; returns the upstreams whose state changed.
-    pub fn judge_answers(&mut self, now: Instant) -> Vec<UpstreamIndex> {
+    /// Runs outlier detection; returns the upstreams that it has ejected or whose ejection it has
+    /// ended.
+    pub fn detect_outliers(&mut self, now: Instant) -> Vec<UpstreamIndex> {
         let mut changed = Vec::new();
         for index in self.by_name.values().copied() {
             let answers = &mut self.records[index as usize].answers;
@@ -434,8 +450,8 @@
         changed
     }
 
-    /// Lets weights follow the loads that were measured anew. To be called after each change of loads.
-    pub fn learn_loads(&mut self, costs: &FlowCosts) {
+    /// Updates the weights from new load measurements. Must be called after each change of loads.
+    pub fn update_weights(&mut self, costs: &FlowCosts) {
         let config = &self.config.room;
         for (service, pool) in self.pools.iter_mut().enumerate() {
             let short_flow_share =
@@ -463,39 +479,43 @@
         }
     }
 
-    /// Replaces the reports of the other local hosts. A response counts from the time at which it was seen.
-    pub fn learn_reports<'a>(
+    /// Replaces the reports of the other hosts of this zone. Each comes with the time at which it
+    /// was received; a response counts from the time at which the other host saw it.
+    pub fn merge_reports<'a>(
         &mut self,
         reports: impl Iterator<Item = (Instant, &'a [UpstreamReport])>,
     ) {
         for record in &mut self.records {
-            record.flows_elsewhere = 0;
-            record.answers.clear_elsewhere();
+            record.peer_flows = 0;
+            record.answers.clear_peer_counts();
         }
-        for (heard, reports) in reports {
+        for (received_at, reports) in reports {
             for report in reports {
                 let Some(index) = self.by_tag(report.tag) else {
                     continue;
                 };
                 let record = self.get_mut(index);
-                record.flows_elsewhere += report.flows;
-                record.answers.add_elsewhere(report.answers.into());
-                let sign = report.heard_ago.and_then(|ago| heard.checked_sub(ago));
-                if let Some(sign) = sign {
-                    record.silence.remote_response(sign);
+                record.peer_flows += report.flows;
+                record.answers.add_peer_counts(report.answers.into());
+                let response = report
+                    .heard_ago
+                    .and_then(|ago| received_at.checked_sub(ago));
+                if let Some(response) = response {
+                    record.failure_detector.peer_response(response);
                 }
             }
         }
     }
 
-    /// This host's reports on the upstreams of its zone.
+    /// Returns this host's reports on the upstreams of its zone, at most
+    /// [`MAX_UPSTREAM_REPORTS`]. Upstreams without flows and responses are left out.
     pub fn reports(&self, now: Instant) -> Vec<UpstreamReport> {
         let local = self.records().filter(|record| record.is_local);
         let reports = local.filter_map(|record| {
-            let sign = record.silence.own_response();
-            let heard_ago = sign.map(|sign| now.saturating_duration_since(sign));
-            let silent = record.flows == 0 && heard_ago.is_none();
-            let tag = record.tag.filter(|_tag| !silent)?;
+            let response = record.failure_detector.own_response();
+            let heard_ago = response.map(|response| now.saturating_duration_since(response));
+            let has_no_data = record.flows == 0 && heard_ago.is_none();
+            let tag = record.tag.filter(|_tag| !has_no_data)?;
             Some(UpstreamReport {
                 tag,
                 flows: record.flows,
@@ -506,18 +526,20 @@
         reports.take(MAX_UPSTREAM_REPORTS).collect()
     }
 
-    /// This host's failure reports on the upstreams of its zone.
+    /// Returns this host's reports on the upstreams of its zone that have failed requests, at most
+    /// [`MAX_FAILURE_REPORTS`].
     pub fn failure_reports(&self) -> Vec<FailureReport> {
         let local = self.records().filter(|record| record.is_local);
         let reports = local.filter_map(|record| {
-            let answers = AnswerReport::from(record.answers.own_counts());
+            let answers = OutcomeReport::from(record.answers.own_counts());
             let tag = record.tag.filter(|_tag| answers.failed > 0)?;
             Some(FailureReport { tag, answers })
         });
         reports.take(MAX_FAILURE_REPORTS).collect()
     }
 
-    /// Records an unanswered attempt of a caller, sent at `sent`; true if it ejects the upstream.
+    /// Records an unanswered attempt of a caller's flow, sent at `sent`; true if it ejects the
+    /// upstream.
     pub fn attempt_failed(
         &mut self,
         index: UpstreamIndex,
@@ -525,23 +547,24 @@
         sent: Instant,
         caller: SocketAddrV4,
     ) -> bool {
-        let silence = &mut self.records[index as usize].silence;
-        silence.attempt_failed(&self.config.detector, now, sent, caller)
+        let failure_detector = &mut self.records[index as usize].failure_detector;
+        failure_detector.attempt_failed(&self.config.detector, now, sent, caller)
     }
 
     /// Records a probe of an ejected upstream.
     pub fn probe_sent(&mut self, index: UpstreamIndex, now: Instant) {
-        let silence = &mut self.records[index as usize].silence;
-        silence.probe_sent(&self.config.detector, now);
+        let failure_detector = &mut self.records[index as usize].failure_detector;
+        failure_detector.probe_sent(&self.config.detector, now);
     }
 
-    /// Resets every failure detector, after this host was stalled.
+    /// Resets every failure detector after a stall of this host.
     pub fn reset_detectors(&mut self) {
         for record in &mut self.records {
-            record.silence.reset();
+            record.failure_detector.reset();
         }
     }
 
+    /// Inserts a record for an upstream that is not known; returns its index.
     fn insert(
         &mut self,
         now: Instant,
@@ -572,11 +595,11 @@
             idle: 0,
             waiting: 0,
             opening: 0,
-            flows_elsewhere: 0,
+            peer_flows: 0,
             load: Default::default(),
             placed: Default::default(),
             weight: Default::default(),
-            silence: Default::default(),
+            failure_detector: Default::default(),
             answers: Default::default(),
         };
         let index = match self.free.pop() {
@@ -596,13 +619,15 @@
         index
     }
 
-    fn retire(&mut self, now: Instant, index: UpstreamIndex) {
-        self.leave_pool(index);
+    /// Marks an upstream as deregistered and removes it from its pool.
+    fn mark_deregistered(&mut self, now: Instant, index: UpstreamIndex) {
+        self.remove_from_pool(index);
         let forget_at = now + self.max_flow_age;
         self.get_mut(index).registration = RegistrationState::Deregistered { forget_at };
     }
 
-    /// Moves the upstreams of a zone to the lists of their pools to which they belong now.
+    /// Moves the upstreams of a zone to the list of their pool that matches whether the zone is
+    /// evacuated.
     fn reassign_zone(&mut self, zone: &ZoneName) {
         let is_member = |record: &UpstreamRecord| {
             let listed = !matches!(record.registration, RegistrationState::Deregistered { .. });
@@ -614,12 +639,13 @@
             .collect();
         members.sort_unstable();
         for index in members {
-            self.leave_pool(index);
-            self.enter_pool(index);
+            self.remove_from_pool(index);
+            self.add_to_pool(index);
         }
     }
 
-    fn enter_pool(&mut self, index: UpstreamIndex) {
+    /// Adds an upstream to the list of its service's pool that matches its zone.
+    fn add_to_pool(&mut self, index: UpstreamIndex) {
         let record = &self.records[index as usize];
         let pool = &mut self.pools[record.service as usize];
         let members = if self.evacuated.contains_key(&record.zone) {
@@ -632,7 +658,8 @@
         members.push(index);
     }
 
-    fn leave_pool(&mut self, index: UpstreamIndex) {
+    /// Removes an upstream from the pool of its service.
+    fn remove_from_pool(&mut self, index: UpstreamIndex) {
         let service = self.get(index).service;
         let pool = &mut self.pools[service as usize];
         for members in [&mut pool.local, &mut pool.remote, &mut pool.evacuated] {
@@ -640,7 +667,8 @@
         }
     }
 
-    fn forget(&mut self, index: UpstreamIndex) {
+    /// Removes the record of an upstream and frees its index.
+    fn remove_record(&mut self, index: UpstreamIndex) {
         let record = &self.records[index as usize];
         if let Some(tag) = record.tag {
             self.by_tag.remove(&tag);
--- a/packet/src/upstreams/zone_evacuation.rs
+++ b/packet/src/upstreams/zone_evacuation.rs
@@ -1,8 +1,9 @@
 //! The availability zones that operators evacuate.
 //!
-//! An evacuated zone gets no new flow, whatever else is known of upstreams: neither saturation nor a
-//! panic threshold brings it back. Its open flows go on. It holds until the published state no longer
-//! lists it, also while the store cannot be read; if the store has lost it, for some time longer.
+//! An evacuated zone gets no new flows, not even when all other upstreams are saturated or the
+//! panic threshold applies. Its open flows continue. An evacuation lasts until the published state
+//! no longer lists it, also while the store is unreachable. If a restored store has lost it, it
+//! lasts for a grace time.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,16 +12,16 @@
 
 use crate::ids::Revision;
 
-/// One zone's evacuation, as this host has applied it.
+/// Evacuation of one zone, as applied by this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneEvacuation {
-    /// The store's revision of the request.
+    /// Store revision of the request.
     pub revision: Revision,
-    /// When this host stopped placing flows there.
+    /// When this host stopped placing new flows in the zone.
     pub applied_at: Instant,
-    /// When it ends unless it is requested again, if the store has lost the request.
+    /// End of the grace time if a restored store has lost the request; `None` otherwise.
     pub expires_at: Option<Instant>,
 }
 
-/// The evacuated zones by name, also those that hold no upstream.
+/// The evacuated zones by name, including zones without upstreams.
 pub type EvacuatedZones = BTreeMap<ZoneName, ZoneEvacuation>;
--- a/packet/tests/fleet_rig.rs
+++ b/packet/tests/fleet_rig.rs
@@ -1,7 +1,8 @@
-//! Drives the cores of a whole fleet in virtual time, with a store and a network between them.
+//! Simulates a fleet of packet cores, their store and their network in virtual time.
 //!
-//! Each host does what the program does around its core: it looks every 100 ms whom to heartbeat, whom to
-//! ask for state, and what to read. Datagrams are late and lost at random, from a seed.
+//! Each host drives its core as the program does: every 100 ms it ticks the core, sends heartbeats
+//! and load datagrams, and requests missing state. Datagrams are delayed, and a seeded generator
+//! drops some of them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -35,140 +36,149 @@
 use crate::fleet_store::StoreCall;
 use crate::fleet_store::WaitingWatch;
 
-/// How often a host looks what is to be done.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which a host ticks its core.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One way between hosts of a zone, and between zones.
+/// One-way delay between hosts of one zone.
 const LOCAL_DELAY: Duration = Duration::from_micros(200);
+
+/// One-way delay between hosts of different zones.
 const REMOTE_DELAY: Duration = Duration::from_micros(3900);
 
-/// How long a state is under way from peer to peer: 250 KB over 20 Mbit/s.
+/// Transfer time of the state between peers: 250 KB at 20 Mbit/s.
 const STATE_DELAY: Duration = Duration::from_millis(100);
 
-/// How long it takes to be told that a peer serves others.
+/// Time until a peer rejects a state request because it is busy.
 const BUSY_DELAY: Duration = Duration::from_millis(3);
 
-/// Hosts that one hands its state to at the same time.
-const SERVED_AT_ONCE: u32 = 2;
+/// Maximum number of hosts that a host sends its state to at the same time.
+const MAX_CONCURRENT_REPLIES: u32 = 2;
 
-/// Datagrams lost, in ten thousand.
-const LOST: u32 = 15;
+/// Number of lost datagrams per 10,000.
+const LOST_PER_10_000: u32 = 15;
 
-/// A host by its place in the fleet.
-pub type HostPlace = usize;
+/// Index of a host in [`FleetRig::hosts`].
+pub type HostIndex = usize;
 
-/// One host.
+/// A simulated host.
 pub struct FleetHost {
-    /// Where peers reach it.
+    /// Address for peers.
     pub address: SocketAddrV4,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Its decisions.
     pub core: PacketCore,
-    /// It runs.
+    /// Whether the process runs.
     pub alive: bool,
-    /// The store answers it.
+    /// Whether the store accepts its calls.
     pub served: bool,
-    /// It reads, as far as it decided at its last look.
+    /// Whether it reads the store for its zone, as of its last tick.
     pub reads: bool,
+    /// Thousandths of a processor core.
     capacity: u32,
-    /// Counts its starts, so that what was meant for an earlier one is lost.
-    pub(crate) life: u32,
-    asking: bool,
-    serving: u32,
-    /// Until when its process stands still.
+    /// Number of starts and kills. Events that were scheduled for an earlier generation are
+    /// dropped.
+    pub(crate) generation: u32,
+    state_requested: bool,
+    /// Number of hosts that it is sending its state to.
+    active_replies: u32,
+    /// End of the current stall of its process.
     pub(crate) frozen_until: Option<Instant>,
 }
 
-/// What happens to a host.
+/// An event of a host.
 pub(crate) enum FleetEvent {
-    Look,
-    /// The host's wait between two calls of the store is over.
+    Tick,
+    /// The host makes its next call of the store.
     Read,
-    /// A watch may have waited its time.
-    WatchEnds,
+    /// A waiting watch may have reached its maximum wait.
+    WatchTimeout,
     Datagram {
         from: SocketAddrV4,
         datagram: PeerDatagram,
     },
+    /// Response of the store to a listing.
     Listed(Result<ListPage, StoreFault>),
+    /// Response of the store to a watch.
     Watched(Result<WatchBatch, StoreFault>),
+    /// Reply of a peer to a state request. `update` is `None` if the peer is busy or unreachable.
     State {
         source: SocketAddrV4,
         update: Option<StateUpdate>,
         busy: bool,
     },
-    /// A transfer to another host has ended.
-    Served,
-    /// The store's link has carried some more.
-    LinkStep,
+    /// The host has sent its state to another host.
+    ReplyEnds,
+    /// The store's link has transferred the bytes of one interval.
+    LinkTick,
 }
 
-/// When and to whom it happens.
+/// An event and the process that it is scheduled for.
 struct HostEvent {
-    host: HostPlace,
-    life: u32,
+    host: HostIndex,
+    generation: u32,
     event: FleetEvent,
 }
 
-/// The fleet.
+/// A simulated fleet with its store and network.
 pub struct FleetRig {
-    /// Its hosts, zone by zone.
+    /// Hosts, grouped by zone.
     pub hosts: Vec<FleetHost>,
-    /// The present time.
+    /// Virtual time.
     pub now: Instant,
-    /// Every call of the store so far.
-    pub calls: Vec<(Instant, HostPlace, StoreCall)>,
-    /// Datagrams sent between hosts so far.
+    /// All calls of the store: time, caller and kind.
+    pub calls: Vec<(Instant, HostIndex, StoreCall)>,
+    /// Number of datagrams sent between hosts.
     pub sent: usize,
-    /// Datagrams about load sent so far: when, by whom, and their bytes.
-    pub load_sent: Vec<(Instant, HostPlace, usize)>,
-    /// The settings of hosts that start from now on.
+    /// All load datagrams sent: time, sender and bytes.
+    pub load_sent: Vec<(Instant, HostIndex, usize)>,
+    /// Setting of the hosts that start from now on.
     pub warmup_tolerance: Option<WarmupTolerance>,
+    /// Seed peers in the settings of every host.
     seeds: Vec<SocketAddrV4>,
-    queue: BTreeMap<(Instant, u64), HostEvent>,
-    queued: u64,
+    /// Scheduled events by time and order of scheduling.
+    events: BTreeMap<(Instant, u64), HostEvent>,
+    scheduled_count: u64,
     random: StdRng,
-    /// Hosts of which these are parted from the others.
-    parted: BTreeSet<HostPlace>,
+    /// Hosts that reach each other but no other host.
+    isolated: BTreeSet<HostIndex>,
     pub(crate) items: Vec<PublishedItem>,
-    /// The store's revision.
+    /// Revision of the store.
     pub revision: Revision,
-    /// How often the store has come back from a copy.
+    /// Era of the store: how often it was restored from a backup.
     pub era: StoreEra,
-    /// Changes up to this revision are no longer in the store's history.
-    pub(crate) dropped: Revision,
+    /// Last revision that the store's history no longer contains.
+    pub(crate) dropped_through: Revision,
     pub(crate) watches: Vec<WaitingWatch>,
-    /// Bytes of the whole list.
+    /// Size of the whole list in bytes.
     pub list_bytes: f64,
-    pub(crate) lists: Vec<ListTransfer>,
-    /// The store's link carries lists.
+    pub(crate) list_transfers: Vec<ListTransfer>,
+    /// Whether the store's link is transferring lists.
     pub(crate) link_busy: bool,
 }
 
-/// A fleet to be.
+/// Size and random seed of a fleet.
 pub struct FleetPlan {
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: u8,
-    /// Hosts of each.
-    pub hosts_a_zone: u8,
-    /// The first of each zone that have half a core; the others have 0.12 of one.
-    pub large_a_zone: u8,
-    /// Where chance begins.
+    pub hosts_per_zone: u8,
+    /// Number of hosts per zone with 0.5 of a processor core. The others have 0.12 of one.
+    pub large_hosts_per_zone: u8,
+    /// Seed of the random generator.
     pub seed: u64,
 }
 
 impl FleetRig {
-    /// A fleet none of whose hosts runs yet. Its settings name three hosts of the first zones.
+    /// Creates a fleet of stopped hosts. The first host of each of the first three zones is a seed
+    /// peer.
     pub fn new(plan: &FleetPlan) -> Self {
-        Self::with_hosts(plan, plan.hosts_a_zone.into())
+        Self::with_hosts(plan, plan.hosts_per_zone.into())
     }
 
-    /// The same with so many hosts in each zone, which may be more than a plan can say.
-    pub fn with_hosts(plan: &FleetPlan, hosts_a_zone: u16) -> Self {
+    /// Creates a fleet as [`FleetRig::new`] does, with `hosts_per_zone` instead of the plan's,
+    /// which is limited to 255.
+    pub fn with_hosts(plan: &FleetPlan, hosts_per_zone: u16) -> Self {
         let now = Instant::now();
         let addresses = (0..plan.zones).flat_map(|zone| {
-            (1..=hosts_a_zone).map(move |host| {
+            (1..=hosts_per_zone).map(move |host| {
                 let [high, low] = host.to_be_bytes();
                 SocketAddrV4::new(Ipv4Addr::new(10, zone + 1, high, low), 7720)
             })
@@ -176,7 +186,7 @@
         let hosts: Vec<FleetHost> = addresses
             .map(|address| {
                 let [_ten, zone, high, low] = address.ip().octets();
-                let large = u16::from_be_bytes([high, low]) <= plan.large_a_zone.into();
+                let large = u16::from_be_bytes([high, low]) <= plan.large_hosts_per_zone.into();
                 let zone = ZoneName::from(format!("zone-{zone}"));
                 let capacity = if large { 500 } else { 120 };
                 let core = PacketCore::new(&settings(), PolicyConfig::default());
@@ -188,14 +198,14 @@
                     served: true,
                     reads: false,
                     capacity,
-                    life: 0,
-                    asking: false,
-                    serving: 0,
+                    generation: 0,
+                    state_requested: false,
+                    active_replies: 0,
                     frozen_until: None,
                 }
             })
             .collect();
-        let step = usize::from(hosts_a_zone);
+        let step = usize::from(hosts_per_zone);
         let seeds = hosts.iter().step_by(step).take(3);
         let seeds = seeds.map(|host| host.address).collect();
         let items = vec![
@@ -210,22 +220,22 @@
             load_sent: Vec::new(),
             warmup_tolerance: None,
             seeds,
-            queue: BTreeMap::new(),
-            queued: 0,
+            events: BTreeMap::new(),
+            scheduled_count: 0,
             random: StdRng::seed_from_u64(plan.seed),
-            parted: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             items,
             revision: 10,
             era: 0,
-            dropped: 0,
+            dropped_through: 0,
             watches: Vec::new(),
             list_bytes: 460_000.0,
-            lists: Vec::new(),
+            list_transfers: Vec::new(),
             link_busy: false,
         }
     }
 
-    /// Starts every host within 0.1 s, those that the settings name 0.3 s after the others.
+    /// Starts every host within 0.1 s, and the seed peers 0.3 s after the others.
     pub fn start_all(&mut self) {
         for host in 0..self.hosts.len() {
             let late = self.seeds.contains(&self.hosts[host].address);
@@ -236,7 +246,7 @@
     }
 
     /// Starts a host as a new process after a delay.
-    pub fn start(&mut self, host: HostPlace, delay: Duration) {
+    pub fn start(&mut self, host: HostIndex, delay: Duration) {
         let settings = HostSettings {
             seed_peers: self.seeds.clone(),
             warmup_tolerance: self.warmup_tolerance,
@@ -244,54 +254,54 @@
         };
         let started = &mut self.hosts[host];
         started.core = PacketCore::new(&settings, PolicyConfig::default());
-        started.life += 1;
+        started.generation += 1;
         started.alive = true;
         started.reads = false;
-        started.asking = false;
-        started.serving = 0;
-        self.push(host, delay, FleetEvent::Look);
-        self.push(host, delay, FleetEvent::Read);
+        started.state_requested = false;
+        started.active_replies = 0;
+        self.schedule(host, delay, FleetEvent::Tick);
+        self.schedule(host, delay, FleetEvent::Read);
     }
 
-    /// Ends a host as when its machine loses power.
-    pub fn kill(&mut self, host: HostPlace) {
+    /// Stops a host at once, as a loss of power does.
+    pub fn kill(&mut self, host: HostIndex) {
         let killed = &mut self.hosts[host];
         killed.alive = false;
         killed.reads = false;
-        killed.life += 1;
+        killed.generation += 1;
     }
 
-    /// Lets a host stand still for a time; what comes meanwhile waits for it.
-    pub fn freeze(&mut self, host: HostPlace, time: Duration) {
+    /// Stalls a host for `time`. Its events are delayed until the end of the stall.
+    pub fn freeze(&mut self, host: HostIndex, time: Duration) {
         self.hosts[host].frozen_until = Some(self.now + time);
     }
 
-    /// Whether a host sends new flows to the one upstream.
-    pub fn places_flows(&self, host: HostPlace) -> bool {
+    /// Returns whether a host places new flows at any upstream.
+    pub fn places_flows(&self, host: HostIndex) -> bool {
         let upstreams = self.hosts[host].core.upstreams();
         upstreams.records().any(|record| record.takes_flows())
     }
 
-    /// Whether a host places no new flows in a zone.
-    pub fn evacuates(&self, host: HostPlace, zone: &str) -> bool {
+    /// Returns whether a host has applied the evacuation of a zone.
+    pub fn evacuates(&self, host: HostIndex, zone: &str) -> bool {
         let upstreams = self.hosts[host].core.upstreams();
         upstreams.evacuated().contains_key(zone)
     }
 
-    /// Sends a SYN of a new flow to a host; the numbers of the upstreams that get it.
-    pub fn open_flow(&mut self, host: HostPlace, flow: u16) -> Vec<u8> {
+    /// Sends the SYN of a new flow to a host. Returns the numbers of the upstreams that get it.
+    pub fn open_flow(&mut self, host: HostIndex, flow: u16) -> Vec<u8> {
         let mut output = PacketOutput::default();
         let head = open_head(flow, 0);
         self.hosts[host].core.packet(self.now, &head, &mut output);
         forwarded(&output.actions)
     }
 
-    /// Parts these hosts from all others; nobody is parted after an empty list.
-    pub fn part(&mut self, hosts: impl IntoIterator<Item = HostPlace>) {
-        self.parted = hosts.into_iter().collect();
+    /// Partitions these hosts from all others. An empty list ends the partition.
+    pub fn isolate(&mut self, hosts: impl IntoIterator<Item = HostIndex>) {
+        self.isolated = hosts.into_iter().collect();
     }
 
-    /// Publishes a change of the one upstream each so many milliseconds for a time.
+    /// Advances time by `millis` and publishes a change of upstream 1 every `pause` milliseconds.
     pub fn pass_with_changes(&mut self, millis: u64, pause: u64) {
         for _change in 0..millis / pause {
             self.publish(|revision| upstream_item(revision, entry(1, "ledger")));
@@ -299,43 +309,43 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances time by `millis` and handles the events that are due.
     pub fn pass(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
-        while let Some(entry) = self.queue.first_entry()
+        while let Some(entry) = self.events.first_entry()
             && entry.key().0 <= end
         {
             let ((at, _number), event) = entry.remove_entry();
             self.now = self.now.max(at);
             let frozen_until = self.hosts[event.host].frozen_until;
             if let Some(until) = frozen_until.filter(|until| at < *until) {
-                self.queued += 1;
-                self.queue.insert((until, self.queued), event);
+                self.scheduled_count += 1;
+                self.events.insert((until, self.scheduled_count), event);
                 continue;
             }
-            let lives = self.hosts[event.host].life == event.life;
-            if lives || matches!(event.event, FleetEvent::LinkStep) {
-                self.happen(event.host, event.event);
+            let is_current = self.hosts[event.host].generation == event.generation;
+            if is_current || matches!(event.event, FleetEvent::LinkTick) {
+                self.handle_event(event.host, event.event);
             }
         }
         self.now = end;
     }
 
-    /// The living hosts of a zone that read.
-    pub fn readers(&self, zone: &str) -> Vec<HostPlace> {
+    /// Returns the running hosts of a zone that read the store.
+    pub fn readers(&self, zone: &str) -> Vec<HostIndex> {
         let hosts = self.hosts.iter().enumerate();
-        let reading = hosts.filter(|(_place, host)| host.alive && host.reads && host.zone == zone);
-        reading.map(|(place, _host)| place).collect()
+        let reading = hosts.filter(|(_index, host)| host.alive && host.reads && host.zone == zone);
+        reading.map(|(index, _host)| index).collect()
     }
 
-    /// The names of the zones.
+    /// Returns the names of the zones.
     pub fn zones(&self) -> Vec<ZoneName> {
         let mut zones: Vec<ZoneName> = self.hosts.iter().map(|host| host.zone.clone()).collect();
         zones.dedup();
         zones
     }
 
-    /// Calls of one kind since a moment.
+    /// Returns the number of calls of one kind since `since`.
     pub fn calls_since(&self, since: Instant, kind: StoreCall) -> usize {
         let calls = self.calls.iter();
         calls
@@ -343,108 +353,122 @@
             .count()
     }
 
-    pub(crate) fn push(&mut self, host: HostPlace, delay: Duration, event: FleetEvent) {
-        self.queued += 1;
-        let life = self.hosts[host].life;
-        let event = HostEvent { host, life, event };
-        self.queue.insert((self.now + delay, self.queued), event);
+    pub(crate) fn schedule(&mut self, host: HostIndex, delay: Duration, event: FleetEvent) {
+        self.scheduled_count += 1;
+        let generation = self.hosts[host].generation;
+        let event = HostEvent {
+            host,
+            generation,
+            event,
+        };
+        self.events
+            .insert((self.now + delay, self.scheduled_count), event);
     }
 
-    fn happen(&mut self, place: HostPlace, event: FleetEvent) {
+    fn handle_event(&mut self, index: HostIndex, event: FleetEvent) {
         let now = self.now;
         match event {
-            FleetEvent::Look => self.look(place),
-            FleetEvent::Read => self.call_store(place),
-            FleetEvent::WatchEnds => self.end_old_watches(),
-            FleetEvent::Datagram { from, datagram } => self.take(place, from, datagram),
-            FleetEvent::Served => self.hosts[place].serving -= 1,
-            FleetEvent::LinkStep => self.carry_lists(),
+            FleetEvent::Tick => self.tick_host(index),
+            FleetEvent::Read => self.call_store(index),
+            FleetEvent::WatchTimeout => self.end_expired_watches(),
+            FleetEvent::Datagram { from, datagram } => self.handle_datagram(index, from, datagram),
+            FleetEvent::ReplyEnds => self.hosts[index].active_replies -= 1,
+            FleetEvent::LinkTick => self.advance_list_transfers(),
             FleetEvent::State {
                 source,
                 update,
                 busy,
             } => {
-                self.hosts[place].asking = false;
+                self.hosts[index].state_requested = false;
                 match update {
                     Some(update) => {
-                        if !self.merge_and_forward(place, update) {
-                            self.hosts[place].core.source_failed(now, source, false);
+                        if !self.merge_and_forward(index, update) {
+                            self.hosts[index].core.source_failed(now, source, false);
                         }
                     }
-                    None => self.hosts[place].core.source_failed(now, source, busy),
+                    None => self.hosts[index].core.source_failed(now, source, busy),
                 }
             }
             FleetEvent::Listed(Ok(page)) => {
-                let update = self.hosts[place].core.store_listed(now, page);
-                self.take_read(place, update);
+                let update = self.hosts[index].core.store_listed(now, page);
+                self.handle_store_update(index, update);
             }
             FleetEvent::Watched(Ok(batch)) => {
-                let update = self.hosts[place].core.store_changed(now, batch);
-                self.take_read(place, update.map(Some));
+                let update = self.hosts[index].core.store_changed(now, batch);
+                self.handle_store_update(index, update.map(Some));
             }
             FleetEvent::Listed(Err(fault)) | FleetEvent::Watched(Err(fault)) => {
-                self.take_read(place, Err(fault));
+                self.handle_store_update(index, Err(fault));
             }
         }
     }
 
-    /// Takes in the outcome of a call of the store.
-    fn take_read(&mut self, place: HostPlace, update: Result<Option<StateUpdate>, StoreFault>) {
+    /// Applies the result of a call of the store and schedules the next call.
+    fn handle_store_update(
+        &mut self,
+        index: HostIndex,
+        update: Result<Option<StateUpdate>, StoreFault>,
+    ) {
         match update {
             Ok(Some(update)) => {
-                self.merge_and_forward(place, update);
+                self.merge_and_forward(index, update);
             }
             Ok(None) => {}
-            Err(fault) => self.hosts[place].core.store_failed(self.now, &fault),
+            Err(fault) => self.hosts[index].core.store_failed(self.now, &fault),
         }
-        self.push(place, Duration::ZERO, FleetEvent::Read);
+        self.schedule(index, Duration::ZERO, FleetEvent::Read);
     }
 
-    fn look(&mut self, place: HostPlace) {
+    fn tick_host(&mut self, index: HostIndex) {
         let now = self.now;
-        self.push(place, LOOK, FleetEvent::Look);
-        let host = &mut self.hosts[place];
+        self.schedule(index, TICK_INTERVAL, FleetEvent::Tick);
+        let host = &mut self.hosts[index];
         host.core.tick(now, &mut PacketOutput::default());
         host.reads = host.core.reads();
         let heartbeats = host.core.round(now, false);
-        self.send_heartbeats(place, heartbeats);
-        let due = self.hosts[place].core.due_load_datagrams(now);
-        self.send_due(place, due);
-        self.ask_if_behind(place);
+        self.send_heartbeats(index, heartbeats);
+        let due = self.hosts[index].core.due_load_datagrams(now);
+        self.send_due(index, due);
+        self.request_missing_state(index);
     }
 
-    fn ask_if_behind(&mut self, place: HostPlace) {
+    fn request_missing_state(&mut self, index: HostIndex) {
         let now = self.now;
-        if !self.hosts[place].asking
-            && let Some(source) = self.hosts[place].core.source(now)
+        if !self.hosts[index].state_requested
+            && let Some(source) = self.hosts[index].core.source(now)
         {
-            self.ask(place, source);
+            self.request_state(index, source);
         }
     }
 
-    fn ask(&mut self, place: HostPlace, source: SocketAddrV4) {
-        let query = self.hosts[place].core.view().query();
-        let asked = self.place_of(source);
-        let asked = asked.filter(|asked| self.hosts[*asked].alive && self.reach(place, *asked));
-        self.hosts[place].asking = true;
-        let busy = asked.is_some_and(|asked| self.hosts[asked].serving >= SERVED_AT_ONCE);
+    fn request_state(&mut self, index: HostIndex, source: SocketAddrV4) {
+        let query = self.hosts[index].core.view().query();
+        let source_index = self.index_of(source);
+        let source_index = source_index.filter(|source_index| {
+            self.hosts[*source_index].alive && self.can_reach(index, *source_index)
+        });
+        self.hosts[index].state_requested = true;
+        let busy = source_index.is_some_and(|source_index| {
+            self.hosts[source_index].active_replies >= MAX_CONCURRENT_REPLIES
+        });
         if busy {
             let update = None;
-            let answer = FleetEvent::State {
+            let reply = FleetEvent::State {
                 source,
                 update,
                 busy,
             };
-            self.push(place, BUSY_DELAY, answer);
+            self.schedule(index, BUSY_DELAY, reply);
             return;
         }
-        let update = asked.map(|asked| self.hosts[asked].core.view().update_since(&query));
-        if let Some(asked) = asked {
-            self.hosts[asked].serving += 1;
-            self.push(asked, STATE_DELAY, FleetEvent::Served);
+        let update = source_index
+            .map(|source_index| self.hosts[source_index].core.view().update_since(&query));
+        if let Some(source_index) = source_index {
+            self.hosts[source_index].active_replies += 1;
+            self.schedule(source_index, STATE_DELAY, FleetEvent::ReplyEnds);
         }
-        self.push(
-            place,
+        self.schedule(
+            index,
             STATE_DELAY,
             FleetEvent::State {
                 source,
@@ -454,31 +478,31 @@
         );
     }
 
-    /// Merges an update and forwards it to the hosts of the zone if it was new; true if it was.
-    pub(crate) fn merge_and_forward(&mut self, place: HostPlace, update: StateUpdate) -> bool {
+    /// Merges an update and forwards it to the followers if it was new. Returns whether it was new.
+    pub(crate) fn merge_and_forward(&mut self, index: HostIndex, update: StateUpdate) -> bool {
         let now = self.now;
-        let core = &mut self.hosts[place].core;
+        let core = &mut self.hosts[index].core;
         let before = core.view().query();
         if !core.merge(now, &update, &mut PacketOutput::default()) {
             return false;
         }
         let update = core.forwarded_update(update, &before);
-        for follower in self.hosts[place].core.followers(now) {
-            self.send(place, follower, PeerDatagram::Change(update.clone()));
+        for follower in self.hosts[index].core.followers(now) {
+            self.send(index, follower, PeerDatagram::Change(update.clone()));
         }
         true
     }
 
-    fn take(&mut self, place: HostPlace, from: SocketAddrV4, datagram: PeerDatagram) {
+    fn handle_datagram(&mut self, index: HostIndex, from: SocketAddrV4, datagram: PeerDatagram) {
         let now = self.now;
-        let core = &mut self.hosts[place].core;
+        let core = &mut self.hosts[index].core;
         match datagram {
             PeerDatagram::Heartbeat(heartbeat) => {
                 let replies = core.heard(now, from, heartbeat, false);
                 let lacks_state = core.view().through().is_unread();
-                self.send_heartbeats(place, replies.heartbeats);
+                self.send_heartbeats(index, replies.heartbeats);
                 if lacks_state {
-                    self.ask_if_behind(place);
+                    self.request_missing_state(index);
                 }
             }
             PeerDatagram::Change(update) => {
@@ -490,55 +514,55 @@
             PeerDatagram::Requests(events) => core.handle_request_events(now, &events),
             PeerDatagram::Query(query) => {
                 let reply = core.handle_query(now, from, &query);
-                self.send_due(place, [reply]);
+                self.send_due(index, [reply]);
             }
             PeerDatagram::Reply(reply) => _ = core.handle_reply(now, from, reply),
             PeerDatagram::ZoneLoad(report) => {
                 let reply = core.handle_zone_load(now, from, &report);
-                self.send_due(place, reply);
+                self.send_due(index, reply);
             }
         }
     }
 
-    fn send_heartbeats(&mut self, place: HostPlace, heartbeats: Vec<AddressedHeartbeat>) {
+    fn send_heartbeats(&mut self, index: HostIndex, heartbeats: Vec<AddressedHeartbeat>) {
         for AddressedHeartbeat { heartbeat, targets } in heartbeats {
             for target in targets {
-                self.send(place, target, PeerDatagram::Heartbeat(heartbeat.clone()));
+                self.send(index, target, PeerDatagram::Heartbeat(heartbeat.clone()));
             }
         }
     }
 
-    fn send_due(&mut self, place: HostPlace, due: impl IntoIterator<Item = AddressedDatagram>) {
+    fn send_due(&mut self, index: HostIndex, due: impl IntoIterator<Item = AddressedDatagram>) {
         for AddressedDatagram { datagram, targets } in due {
             let bytes = datagram.encode().expect("a datagram is encoded").len();
             for target in targets {
-                self.load_sent.push((self.now, place, bytes));
-                self.send(place, target, datagram.clone());
+                self.load_sent.push((self.now, index, bytes));
+                self.send(index, target, datagram.clone());
             }
         }
     }
 
-    fn send(&mut self, place: HostPlace, target: SocketAddrV4, datagram: PeerDatagram) {
+    fn send(&mut self, index: HostIndex, target: SocketAddrV4, datagram: PeerDatagram) {
         self.sent += 1;
-        let from = self.hosts[place].address;
-        let lost = self.random.random_range(0..10_000) < LOST;
-        let Some(to) = self.place_of(target).filter(|_to| !lost) else {
+        let from = self.hosts[index].address;
+        let lost = self.random.random_range(0..10_000) < LOST_PER_10_000;
+        let Some(to) = self.index_of(target).filter(|_to| !lost) else {
             return;
         };
-        if !self.reach(place, to) {
+        if !self.can_reach(index, to) {
             return;
         }
-        let local = self.hosts[to].zone == self.hosts[place].zone;
+        let local = self.hosts[to].zone == self.hosts[index].zone;
         let delay = if local { LOCAL_DELAY } else { REMOTE_DELAY };
-        self.push(to, delay, FleetEvent::Datagram { from, datagram });
+        self.schedule(to, delay, FleetEvent::Datagram { from, datagram });
     }
 
-    /// Whether datagrams go from one host to the other.
-    fn reach(&self, from: HostPlace, to: HostPlace) -> bool {
-        self.parted.contains(&from) == self.parted.contains(&to)
+    /// Returns whether no partition separates the hosts.
+    fn can_reach(&self, from: HostIndex, to: HostIndex) -> bool {
+        self.isolated.contains(&from) == self.isolated.contains(&to)
     }
 
-    fn place_of(&self, address: SocketAddrV4) -> Option<HostPlace> {
+    fn index_of(&self, address: SocketAddrV4) -> Option<HostIndex> {
         self.hosts.iter().position(|host| host.address == address)
     }
 }
--- a/packet/tests/fleet_store.rs
+++ b/packet/tests/fleet_store.rs
@@ -1,4 +1,5 @@
-//! The store of a fleet in virtual time: a list over one link that all share, watches, and refusals.
+//! Simulates the store of a fleet in virtual time: listings over one shared link, watches and
+//! rejected calls.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,51 +18,55 @@
 use crate::core_rig::in_era;
 use crate::fleet_rig::FleetEvent;
 use crate::fleet_rig::FleetRig;
-use crate::fleet_rig::HostPlace;
+use crate::fleet_rig::HostIndex;
 
-/// How long the store takes for an answer.
+/// Time until the store responds to a call.
 const STORE_DELAY: Duration = Duration::from_millis(8);
 
-/// What the store's link and a host's carry in a step.
-const LINK_STEP: Duration = Duration::from_millis(5);
-const STORE_STEP_BYTES: f64 = 125_000_000.0 * 0.005;
-const HOST_STEP_BYTES: f64 = 2_500_000.0 * 0.005;
+/// Interval at which list transfers advance.
+const LINK_TICK: Duration = Duration::from_millis(5);
 
-/// A kind of call of the store.
+/// Bytes that the store's link (1 Gbit/s) transfers per interval.
+const STORE_BYTES_PER_TICK: f64 = 125_000_000.0 * 0.005;
+
+/// Bytes that a host's link (20 Mbit/s) transfers per interval.
+const HOST_BYTES_PER_TICK: f64 = 2_500_000.0 * 0.005;
+
+/// The kinds of calls of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A page of the list.
+    /// Requests the list of all items.
     List,
-    /// A watch.
+    /// Waits for changes after a position.
     Watch,
 }
 
-/// The store's content at one moment.
-pub struct StoreCopy {
+/// Content of the store at the time of a backup.
+pub struct StoreBackup {
     items: Vec<PublishedItem>,
     revision: Revision,
 }
 
-/// A list that is under way.
+/// A list in transfer to a host.
 pub(crate) struct ListTransfer {
-    pub(crate) host: HostPlace,
-    pub(crate) life: u32,
-    pub(crate) left: f64,
-    /// When the host looks whether to leave it.
-    pub(crate) look_at: Option<Instant>,
+    pub(crate) host: HostIndex,
+    pub(crate) generation: u32,
+    pub(crate) remaining_bytes: f64,
+    /// Time at which the host checks whether to abandon the listing.
+    pub(crate) progress_check_at: Option<Instant>,
     pub(crate) started: Instant,
 }
 
-/// A watch that waits at the store.
+/// A watch that waits for a change.
 pub(crate) struct WaitingWatch {
-    pub(crate) host: HostPlace,
-    pub(crate) life: u32,
+    pub(crate) host: HostIndex,
+    pub(crate) generation: u32,
     pub(crate) after: StorePosition,
     pub(crate) until: Instant,
 }
 
 impl FleetRig {
-    /// Publishes one change.
+    /// Publishes a change at the next revision and completes the watches that wait for it.
     pub fn publish(&mut self, item: impl FnOnce(Revision) -> PublishedItem) {
         self.revision += 1;
         let mut item = item(self.revision);
@@ -77,173 +82,179 @@
         }
     }
 
-    /// The position of the store.
+    /// Returns the position of the store.
     pub fn position(&self) -> StorePosition {
         in_era(self.era, self.revision)
     }
 
-    /// The store's content, to come back from.
-    pub fn copy_store(&self) -> StoreCopy {
-        StoreCopy {
+    /// Returns a backup of the store's content.
+    pub fn back_up_store(&self) -> StoreBackup {
+        StoreBackup {
             items: self.items.clone(),
             revision: self.revision,
         }
     }
 
-    /// Lets the store come back from a copy: what was published since is gone, its revisions are given out again, and
-    /// waiting watches are cut.
-    pub fn restore_store(&mut self, copy: &StoreCopy) {
+    /// Restores the store from a backup: later changes are lost, their revisions are reused, and
+    /// waiting watches end.
+    pub fn restore_store(&mut self, backup: &StoreBackup) {
         self.era += 1;
-        self.items.clone_from(&copy.items);
+        self.items.clone_from(&backup.items);
         for item in &mut self.items {
             item.position.era = self.era;
         }
-        self.revision = copy.revision;
-        self.dropped = self.dropped.min(copy.revision);
+        self.revision = backup.revision;
+        self.dropped_through = self.dropped_through.min(backup.revision);
         for watch in std::mem::take(&mut self.watches) {
             self.end_watch(&watch);
         }
     }
 
-    /// Ends every waiting watch without an answer.
+    /// Fails every waiting watch with a timeout.
     pub fn cut_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
             let fault = StoreFault::TimedOut;
-            self.push(watch.host, STORE_DELAY, FleetEvent::Watched(Err(fault)));
+            self.schedule(watch.host, STORE_DELAY, FleetEvent::Watched(Err(fault)));
         }
     }
 
-    /// Drops the store's history: watches that are behind need the list again, and waiting ones are cut.
+    /// Drops the store's history, so that hosts that are behind have to list again, and ends
+    /// waiting watches.
     pub fn drop_history(&mut self) {
-        self.dropped = self.revision;
+        self.dropped_through = self.revision;
         for watch in std::mem::take(&mut self.watches) {
             self.end_watch(&watch);
         }
     }
 
-    pub(crate) fn call_store(&mut self, place: HostPlace) {
+    /// Makes the next call of the store that the host's core returns.
+    pub(crate) fn call_store(&mut self, index: HostIndex) {
         let now = self.now;
-        let host = &mut self.hosts[place];
+        let host = &mut self.hosts[index];
         let step = host.core.store_step(now);
         let served = host.served;
         let refusal = StoreFault::Refused { status: 503 };
         match step {
             FeedStep::Wait { until } => {
-                self.wake(place, until);
+                self.schedule_read(index, until);
             }
             FeedStep::List {
                 progress_check_after,
                 ..
             } if served => {
-                self.calls.push((now, place, StoreCall::List));
+                self.calls.push((now, index, StoreCall::List));
                 if !self.link_busy {
                     self.link_busy = true;
-                    self.push(place, LINK_STEP, FleetEvent::LinkStep);
+                    self.schedule(index, LINK_TICK, FleetEvent::LinkTick);
                 }
-                self.lists.push(ListTransfer {
-                    host: place,
-                    life: self.hosts[place].life,
-                    left: self.list_bytes,
+                self.list_transfers.push(ListTransfer {
+                    host: index,
+                    generation: self.hosts[index].generation,
+                    remaining_bytes: self.list_bytes,
                     started: now,
-                    look_at: progress_check_after.map(|after| now + after),
+                    progress_check_at: progress_check_after.map(|after| now + after),
                 });
             }
             FeedStep::List { .. } => {
-                self.calls.push((now, place, StoreCall::List));
-                self.push(place, STORE_DELAY, FleetEvent::Listed(Err(refusal)));
+                self.calls.push((now, index, StoreCall::List));
+                self.schedule(index, STORE_DELAY, FleetEvent::Listed(Err(refusal)));
             }
             FeedStep::Watch { after, wait } => {
-                self.calls.push((now, place, StoreCall::Watch));
-                let life = self.hosts[place].life;
+                self.calls.push((now, index, StoreCall::Watch));
+                let generation = self.hosts[index].generation;
                 let until = now + wait;
                 let watch = WaitingWatch {
-                    host: place,
-                    life,
+                    host: index,
+                    generation,
                     after,
                     until,
                 };
                 if !served {
-                    self.push(place, STORE_DELAY, FleetEvent::Watched(Err(refusal)));
+                    self.schedule(index, STORE_DELAY, FleetEvent::Watched(Err(refusal)));
                 } else if after != self.position() {
                     self.end_watch(&watch);
                 } else {
                     self.watches.push(watch);
-                    self.push(place, wait, FleetEvent::WatchEnds);
+                    self.schedule(index, wait, FleetEvent::WatchTimeout);
                 }
             }
         }
     }
 
-    /// Shares a step of the store's link among the lists that are under way.
-    pub(crate) fn carry_lists(&mut self) {
-        let share = STORE_STEP_BYTES / self.lists.len() as f64;
-        let step = share.min(HOST_STEP_BYTES);
-        let mut lists = std::mem::take(&mut self.lists);
-        lists.retain_mut(|list| {
-            list.left -= step;
-            let left = list.left > 0.0;
-            let looks = list.look_at.take_if(|look_at| *look_at <= self.now);
-            let leaves = looks.is_some_and(|_look| {
+    /// Advances the list transfers by one interval. They share the store's link equally.
+    pub(crate) fn advance_list_transfers(&mut self) {
+        let share = STORE_BYTES_PER_TICK / self.list_transfers.len() as f64;
+        let step = share.min(HOST_BYTES_PER_TICK);
+        let mut list_transfers = std::mem::take(&mut self.list_transfers);
+        list_transfers.retain_mut(|list| {
+            list.remaining_bytes -= step;
+            let is_incomplete = list.remaining_bytes > 0.0;
+            let check_due = list
+                .progress_check_at
+                .take_if(|progress_check_at| *progress_check_at <= self.now);
+            let is_abandoned = check_due.is_some_and(|_at| {
                 StartPlan::is_list_too_slow(&ListProgress {
-                    received: (self.list_bytes - list.left) as u64,
+                    received: (self.list_bytes - list.remaining_bytes) as u64,
                     total: Some(self.list_bytes as u64),
                     elapsed: self.now - list.started,
                 })
             });
-            let alive = self.hosts[list.host].life == list.life;
-            if alive && (!left || leaves) {
+            let alive = self.hosts[list.host].generation == list.generation;
+            if alive && (!is_incomplete || is_abandoned) {
                 let page = ListPage {
-                    items: self.listed_items(),
+                    items: self.existing_items(),
                     next_after: None,
                     position: self.position(),
                 };
-                let answer = if left {
+                let response = if is_incomplete {
                     Err(StoreFault::ListTooSlow)
                 } else {
                     Ok(page)
                 };
-                self.push(list.host, STORE_DELAY, FleetEvent::Listed(answer));
+                self.schedule(list.host, STORE_DELAY, FleetEvent::Listed(response));
             }
-            alive && left && !leaves
+            alive && is_incomplete && !is_abandoned
         });
-        self.lists = lists;
-        self.link_busy = !self.lists.is_empty();
-        if let Some(list) = self.lists.first() {
-            self.push(list.host, LINK_STEP, FleetEvent::LinkStep);
+        self.list_transfers = list_transfers;
+        self.link_busy = !self.list_transfers.is_empty();
+        if let Some(list) = self.list_transfers.first() {
+            self.schedule(list.host, LINK_TICK, FleetEvent::LinkTick);
         }
     }
 
-    fn listed_items(&self) -> Vec<PublishedItem> {
+    fn existing_items(&self) -> Vec<PublishedItem> {
         let listed = self.items.iter();
         let existing = listed.filter(|item| item.content != ItemContent::Removed);
         existing.cloned().collect()
     }
 
-    fn wake(&mut self, place: HostPlace, until: Instant) {
+    fn schedule_read(&mut self, index: HostIndex, until: Instant) {
         let delay = until.saturating_duration_since(self.now);
-        self.push(place, delay, FleetEvent::Read);
+        self.schedule(index, delay, FleetEvent::Read);
     }
 
-    /// Ends the watches that have waited their time.
-    pub(crate) fn end_old_watches(&mut self) {
+    /// Ends the watches whose maximum wait has elapsed.
+    pub(crate) fn end_expired_watches(&mut self) {
         let now = self.now;
-        let (old, waiting) = std::mem::take(&mut self.watches)
+        let (expired, waiting) = std::mem::take(&mut self.watches)
             .into_iter()
             .partition(|watch| watch.until <= now);
         self.watches = waiting;
-        for watch in old {
+        for watch in expired {
             self.end_watch(&watch);
         }
     }
 
+    /// Responds to a watch: with the changes after its position, or with a fault if the history
+    /// does not contain them.
     fn end_watch(&mut self, watch: &WaitingWatch) {
-        if self.hosts[watch.host].life != watch.life {
+        if self.hosts[watch.host].generation != watch.generation {
             return;
         }
         let after = watch.after.revision;
-        if after < self.dropped || after > self.revision {
+        if after < self.dropped_through || after > self.revision {
             let fault = StoreFault::HistoryDropped;
-            self.push(watch.host, STORE_DELAY, FleetEvent::Watched(Err(fault)));
+            self.schedule(watch.host, STORE_DELAY, FleetEvent::Watched(Err(fault)));
             return;
         }
         let newer = self
@@ -255,6 +266,6 @@
             changed: after < self.revision,
             position: self.position(),
         };
-        self.push(watch.host, STORE_DELAY, FleetEvent::Watched(Ok(batch)));
+        self.schedule(watch.host, STORE_DELAY, FleetEvent::Watched(Ok(batch)));
     }
 }
--- a/packet/tests/load_rig.rs
+++ b/packet/tests/load_rig.rs
@@ -27,13 +27,13 @@
     pub number: u16,
     pub upstream: u8,
     /// The host that carries the flow, in a fleet.
-    pub host: HostPlace,
+    pub host: HostIndex,
     seq: u32,
     ack: u32,
 }
 
 impl LoadFlow {
-    pub fn new(number: u16, upstream: u8, host: HostPlace) -> Self {
+    pub fn new(number: u16, upstream: u8, host: HostIndex) -> Self {
         Self {
             number,
             upstream,
@@ -152,8 +152,8 @@
     pub fn with_zones(zones: u8, hosts: u16, counts: &[u16]) -> Self {
         let plan = FleetPlan {
             zones,
-            hosts_a_zone: 1,
-            large_a_zone: 2,
+            hosts_per_zone: 1,
+            large_hosts_per_zone: 2,
             seed: 11,
         };
         let mut rig = FleetRig::with_hosts(&plan, hosts);
@@ -204,7 +204,7 @@
     }
 
     /// Returns the load of each upstream as known to a host, in thousandths of a request.
-    pub fn loads(&self, host: HostPlace) -> Vec<u32> {
+    pub fn loads(&self, host: HostIndex) -> Vec<u32> {
         let upstreams = self.rig.hosts[host].core.upstreams();
         let members = upstreams.pool(0).local.iter();
         let mut records: Vec<_> = members.map(|index| upstreams.get(*index)).collect();
@@ -217,14 +217,14 @@
 
     /// Returns the number of hosts whose counts a host's load of the service is based on, and its
     /// age.
-    pub fn load_status(&self, host: HostPlace) -> (u32, Duration) {
+    pub fn load_status(&self, host: HostIndex) -> (u32, Duration) {
         let load = self.rig.hosts[host].core.load();
         let status = load.status(self.rig.now, 0).expect("the ledger is known");
         (status.reporters, status.age.unwrap_or(Duration::MAX))
     }
 
     /// Returns the hosts that aggregate load reports.
-    pub fn aggregators(&self) -> Vec<HostPlace> {
+    pub fn aggregators(&self) -> Vec<HostIndex> {
         let hosts = self.rig.hosts.iter().enumerate();
         let aggregating = hosts.filter(|(_place, host)| host.core.load().is_aggregator());
         aggregating.map(|(place, _host)| place).collect()
--- a/packet/tests/queue_rig.rs
+++ b/packet/tests/queue_rig.rs
@@ -149,11 +149,11 @@
                         host.measure(upstream, in_progress as u32, response);
                         let record = host.table.get_mut(index);
                         record.load.shed_rate = (current.3 + previous.3) * 2000;
-                        record.flows_elsewhere = flows - record.flows;
+                        record.peer_flows = flows - record.flows;
                     }
                 }
                 for (host, cost) in hosts.iter_mut().zip(&costs) {
-                    host.table.learn_loads(cost);
+                    host.table.update_weights(cost);
                     host.room.updated_at = Some(now);
                 }
                 events.push(Reverse((micros + DIGEST_MICROS, QueueEvent::Digest)));
--- a/packet/tests/test_allocations.rs
+++ b/packet/tests/test_allocations.rs
@@ -50,7 +50,7 @@
         warmup_ms: 0,
     };
     let mut rig = ContendedRig::new(WeightMethod::default(), &[upstream; 40]);
-    rig.table.learn_loads(&FlowCosts::default());
+    rig.table.update_weights(&FlowCosts::default());
     let counted = allocation_counter::measure(|| {
         for flow_hash in 0..200 {
             rig.select(flow_hash, None);
--- a/packet/tests/test_contended_selection.rs
+++ b/packet/tests/test_contended_selection.rs
@@ -466,13 +466,13 @@
             let first = rig.table.get_mut(rig.members[0]);
             first.flows = case.own;
             first.idle = case.idle;
-            first.flows_elsewhere = case.elsewhere;
+            first.peer_flows = case.elsewhere;
             rig.limit_connections(case.limit);
             let counts = rig.counts(300);
             assert_eq!(counts[0] == 0, case.is_skipped, "{name}");
             for index in rig.members.clone() {
                 let record = rig.table.get_mut(index);
-                (record.flows, record.idle, record.flows_elsewhere) = (200, 0, 0);
+                (record.flows, record.idle, record.peer_flows) = (200, 0, 0);
             }
             let counts = rig.counts(300);
             assert!(
@@ -621,7 +621,7 @@
     let costs = FlowCosts::default();
     for method in METHODS {
         let mut rig = ContendedRig::new(method, &[FULL; 9]);
-        rig.table.learn_loads(&costs);
+        rig.table.update_weights(&costs);
         rig.room.updated_at = Some(rig.now);
         let entry = numbered_entry(9, ZONE);
         rig.members.push(rig.table.register(rig.now, &entry));
@@ -634,7 +634,7 @@
                 rig.measure(member, FULL.in_progress, FULL.response_ms);
             }
             rig.measure(9, EMPTY.in_progress, EMPTY.response_ms);
-            rig.table.learn_loads(&costs);
+            rig.table.update_weights(&costs);
             let counts = rig.counts(10_000);
             shares.push(f64::from(counts[9]) / 1000.0);
         }
--- a/packet/tests/test_dispatch_fleet.rs
+++ b/packet/tests/test_dispatch_fleet.rs
@@ -1,4 +1,4 @@
-//! Tests of hosts of a zone that place flows of a contended service together, in virtual time.
+//! Tests of the dispatching of a contended service's flows by the hosts of a zone, in virtual time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,33 +19,35 @@
 use crate::core_rig::*;
 use crate::dispatch_rig::*;
 
-/// Steps that an upstream works on a request.
-const SERVICE_STEPS: u64 = 20;
+/// Service time of a request, in steps of a millisecond.
+const SERVICE_TIME_STEPS: u64 = 20;
 
-/// Slots of an upstream, as `entry` registers them.
+/// Slots of an upstream that `entry` registers.
 const SLOTS: usize = 2;
 
-/// A time after the end of a test.
+/// A time in milliseconds after the end of the test.
 const NEVER: u64 = 5000;
 
-/// Bytes of control traffic that a host may send in a second.
-const TRAFFIC_BOUND: usize = 25_000;
+/// Maximum control traffic that a host may send, in bytes per second.
+const MAX_CONTROL_BYTES_PER_SECOND: usize = 25_000;
 
-/// An upstream that works on requests in turn.
+/// A simulated upstream with a first-in, first-out queue.
 #[derive(Default)]
 struct QueuedUpstream {
     waiting: VecDeque<PlacedSyn>,
-    working: Vec<(u64, PlacedSyn)>,
-    /// Sum of the requests in progress over all steps.
-    total: u64,
+    /// Requests in service, each with the step in which it ends.
+    in_service: Vec<(u64, PlacedSyn)>,
+    /// Number of requests in progress, summed over all steps.
+    request_steps: u64,
 }
 
-/// Serves one-request flows that arrive at random hosts at 0.8 of the slots; the upstreams afterwards.
-fn run_steady(rig: &mut DispatchRig, upstreams: u8, steps: u64) -> Vec<QueuedUpstream> {
+/// Serves flows of one request each, which arrive at random hosts and occupy 0.8 of the slots.
+/// Returns the upstreams.
+fn serve_steady_load(rig: &mut DispatchRig, upstreams: u8, steps: u64) -> Vec<QueuedUpstream> {
     let mut random = StdRng::seed_from_u64(7);
     let mut queues: Vec<QueuedUpstream> = Vec::new();
     queues.resize_with(usize::from(upstreams), QueuedUpstream::default);
-    let rate = 0.8 * f64::from(upstreams) * SLOTS as f64 / SERVICE_STEPS as f64;
+    let rate = 0.8 * f64::from(upstreams) * SLOTS as f64 / SERVICE_TIME_STEPS as f64;
     let (mut flow, mut handled) = (0, 0);
     for step in 0..steps {
         let hosts = rig.cores.len();
@@ -61,20 +63,20 @@
             queues[usize::from(syn.upstream) - 1].waiting.push_back(syn);
         }
         for queue in &mut queues {
-            let ended = queue.working.extract_if(.., |(end, _syn)| *end <= step);
+            let ended = queue.in_service.extract_if(.., |(end, _syn)| *end <= step);
             ended.for_each(|(_end, syn)| rig.finish(syn));
-            while queue.working.len() < SLOTS
+            while queue.in_service.len() < SLOTS
                 && let Some(syn) = queue.waiting.pop_front()
             {
-                queue.working.push((step + SERVICE_STEPS, syn));
+                queue.in_service.push((step + SERVICE_TIME_STEPS, syn));
             }
-            queue.total += (queue.working.len() + queue.waiting.len()) as u64;
+            queue.request_steps += (queue.in_service.len() + queue.waiting.len()) as u64;
         }
     }
     queues
 }
 
-/// A query of a less urgent flow.
+/// Returns a dispatch query for a less urgent flow.
 fn query(flow: u32, may_refuse: bool) -> DispatchQuery {
     DispatchQuery {
         flow,
@@ -86,8 +88,8 @@
     }
 }
 
-/// What a host replies to a query.
-fn verdict(rig: &mut DispatchRig, host: usize, query: &DispatchQuery) -> DispatchVerdict {
+/// Returns a host's decision about a query.
+fn verdict_for(rig: &mut DispatchRig, host: usize, query: &DispatchQuery) -> DispatchVerdict {
     let now = rig.now;
     match rig.cores[host]
         .handle_query(now, host_address(1), query)
@@ -98,8 +100,8 @@
     }
 }
 
-/// Requests placed and not ended, by upstream; all of them in one of `1..=upstreams`.
-fn open_requests(rig: &DispatchRig, upstreams: u8) -> Vec<usize> {
+/// Returns the number of placed requests that have not ended for each upstream.
+fn requests_by_upstream(rig: &DispatchRig, upstreams: u8) -> Vec<usize> {
     let count = |upstream| {
         rig.placed
             .iter()
@@ -119,7 +121,7 @@
             assert!(syn.dispatched, "{hosts} hosts, flow {flow}");
             rig.request(syn);
             rig.pass(2);
-            let counts = open_requests(&rig, 6);
+            let counts = requests_by_upstream(&rig, 6);
             let spread = counts.iter().max().unwrap() - counts.iter().min().unwrap();
             assert!(spread <= 1, "{hosts} hosts, flow {flow}: {counts:?}");
         }
@@ -131,25 +133,25 @@
     for (hosts, upstreams) in [(1, 8), (8, 8), (30, 30)] {
         let mut rig = DispatchRig::new(hosts, upstreams);
         rig.warm_up();
-        let queues = run_steady(&mut rig, upstreams, 3000);
-        let totals: Vec<u64> = queues.iter().map(|queue| queue.total).collect();
-        let mean = totals.iter().sum::<u64>() / totals.len() as u64;
-        let busiest = *totals.iter().max().unwrap();
+        let queues = serve_steady_load(&mut rig, upstreams, 3000);
+        let request_steps: Vec<u64> = queues.iter().map(|queue| queue.request_steps).collect();
+        let mean = request_steps.iter().sum::<u64>() / request_steps.len() as u64;
+        let busiest = *request_steps.iter().max().unwrap();
         assert!(
             busiest * 100 <= mean * 120,
-            "{hosts} hosts: {busiest} of {mean}"
+            "{hosts} hosts: busiest {busiest}, mean {mean}"
         );
-        let alone = rig.placed.iter().filter(|syn| !syn.dispatched).count();
+        let undispatched = rig.placed.iter().filter(|syn| !syn.dispatched).count();
         assert!(
-            alone * 100 <= rig.placed.len(),
-            "{hosts} hosts: {alone} alone"
+            undispatched * 100 <= rig.placed.len(),
+            "{hosts} hosts: {undispatched} flows placed without a dispatcher"
         );
     }
 }
 
 #[test]
-fn test_nothing_is_parked_or_sent_in_calm() {
-    // Guards against dispatching that costs time or traffic while no service is contended.
+fn test_uncontended_services_are_not_dispatched() {
+    // Guards against parked SYNs and dispatching datagrams while no service is contended.
     for hosts in [1, 8, 30] {
         let mut rig = DispatchRig::new(hosts, 60);
         rig.contended = false;
@@ -167,7 +169,7 @@
 }
 
 #[test]
-fn test_host_alone_dispatches_for_itself() {
+fn test_single_host_dispatches_without_peers() {
     // Guards against a host without peers that waits for replies.
     let mut rig = DispatchRig::new(1, 6);
     rig.warm_up();
@@ -177,19 +179,23 @@
 
 #[test]
 fn test_traffic_of_a_large_zone_is_bounded() {
-    // Guards against datagrams that are too long, or too many of one host.
+    // Guards against datagrams above the maximum size, and against a host that sends too many.
     let mut rig = DispatchRig::new(300, 100);
     rig.warm_up();
     rig.sent.fill((0, 0));
-    run_steady(&mut rig, 100, 1000);
+    serve_steady_load(&mut rig, 100, 1000);
     assert!(rig.longest <= MAX_DATAGRAM_BYTES, "{}", rig.longest);
     let busiest = rig.sent[1..].iter().map(|(_count, bytes)| *bytes).max();
-    assert!(busiest <= Some(TRAFFIC_BOUND), "{busiest:?} bytes");
+    assert!(
+        busiest <= Some(MAX_CONTROL_BYTES_PER_SECOND),
+        "{busiest:?} bytes"
+    );
 }
 
 #[test]
 fn test_dispatcher_is_killed() {
-    // Guards against flows that get no upstream, and a zone that does without a dispatcher, after one has died.
+    // Guards against flows without an upstream, and against a zone that stays without a dispatcher,
+    // after the dispatcher was killed.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.kill(0);
@@ -201,17 +207,20 @@
         rig.finish(syn);
     }
     let last = &rig.placed[80..];
-    assert!(last.iter().all(|syn| syn.dispatched), "by the next one");
+    assert!(
+        last.iter().all(|syn| syn.dispatched),
+        "the next dispatcher places them"
+    );
     assert!(rig.resets.is_empty());
 }
 
 #[test]
 fn test_dispatcher_is_frozen() {
-    // Guards against a dispatcher that places flows by the counts from before it stood still.
+    // Guards against a dispatcher that places flows by request counts from before its stall.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     assert_ne!(
-        verdict(&mut rig, 0, &query(1, false)),
+        verdict_for(&mut rig, 0, &query(1, false)),
         DispatchVerdict::Unknown
     );
     rig.stopped[0] = Some(rig.now + Duration::from_secs(1));
@@ -223,18 +232,18 @@
     }
     rig.now += Duration::from_secs(1);
     assert_eq!(
-        verdict(&mut rig, 0, &query(2, false)),
+        verdict_for(&mut rig, 0, &query(2, false)),
         DispatchVerdict::Unknown
     );
 }
 
 #[test]
-fn test_two_hosts_dispatch() {
-    // Guards against flows that get no upstream while hosts disagree on the dispatcher.
+fn test_two_concurrent_dispatchers() {
+    // Guards against flows without an upstream while a partition makes hosts use two dispatchers.
     let mut rig = DispatchRig::new(8, 6);
     rig.can_reach = |from, to| from != 0 && to != 0 || from < 4 && to < 4;
     rig.warm_up();
-    let queues = run_steady(&mut rig, 6, 1000);
+    let queues = serve_steady_load(&mut rig, 6, 1000);
     assert!(rig.resets.is_empty());
     let dispatched = rig.placed.iter().filter(|syn| syn.dispatched).count();
     assert!(
@@ -242,12 +251,13 @@
         "{dispatched} of {}",
         rig.placed.len()
     );
-    assert!(queues.iter().all(|queue| queue.total > 0));
+    assert!(queues.iter().all(|queue| queue.request_steps > 0));
 }
 
 #[test]
-fn test_dispatcher_has_just_started() {
-    // Guards against a dispatcher that takes all upstreams for empty because it has heard of no request yet.
+fn test_new_dispatcher_does_not_place_flows_yet() {
+    // Guards against a new dispatcher that considers all upstreams idle because no request has been
+    // reported to it yet.
     let mut rig = DispatchRig::new(8, 6);
     rig.pass(110);
     let began = [RequestEvent::Began {
@@ -258,19 +268,20 @@
     rig.cores[0].handle_request_events(now, &began);
     rig.pass(290);
     assert_eq!(
-        verdict(&mut rig, 0, &query(2, false)),
+        verdict_for(&mut rig, 0, &query(2, false)),
         DispatchVerdict::Unknown
     );
     rig.pass(10);
     assert_ne!(
-        verdict(&mut rig, 0, &query(2, false)),
+        verdict_for(&mut rig, 0, &query(2, false)),
         DispatchVerdict::Unknown
     );
 }
 
 #[test]
-fn test_events_are_lost() {
-    // Guards against upstreams that look full for good after the ends of their requests were lost.
+fn test_lost_request_events() {
+    // Guards against upstreams that count as loaded permanently after the events that end their
+    // requests were lost.
     let mut rig = DispatchRig::new(8, 2);
     rig.warm_up();
     rig.should_drop = Box::new(|datagram| match datagram {
@@ -288,12 +299,12 @@
             rig.finish(syn);
         }
     }
-    // By the counts both are equally loaded; in truth the first is empty.
+    // The dispatcher counts equal load on both upstreams, but the first one is idle.
     rig.should_drop = Box::new(|_datagram| false);
     rig.placed.retain(|syn| syn.upstream == 2);
     rig.pass(1500);
     for syn in rig.placed.clone() {
-        // Those of the second go on: their next requests are reported again.
+        // Flows of the second upstream continue: their next requests are reported again.
         rig.packet(1, &established_head(syn.flow, 2, 100, 501, 0));
         rig.packet(1, &established_head(syn.flow, 2, 100, 501, 100));
     }
@@ -307,7 +318,8 @@
 
 #[test]
 fn test_replies_are_lost() {
-    // Guards against SYNs that wait longer than the timeout, or again and again, when replies are lost.
+    // Guards against SYNs that wait longer than the timeout when replies are lost, and against a
+    // host that keeps querying the same dispatcher.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.should_drop = Box::new(|datagram| matches!(datagram, PeerDatagram::Reply(_)));
@@ -323,13 +335,14 @@
     let syn = rig.place(1, 10).expect("an upstream");
     assert!(
         !syn.dispatched,
-        "the next one has not heard of requests yet"
+        "no request has been reported to the next dispatcher yet"
     );
 }
 
 #[test]
 fn test_late_replies_count_as_lost() {
-    // Guards against a zone whose every SYN waits for an overloaded dispatcher that replies too late each time.
+    // Guards against a zone in which every SYN waits for the timeout because an overloaded
+    // dispatcher replies too late each time.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.reply_delay = Duration::from_millis(15);
@@ -341,22 +354,23 @@
     let before = rig.sent[0].0;
     rig.place(1, 10).expect("an upstream");
     rig.pass(20);
-    assert_eq!(rig.sent[0].0, before, "it is not asked any more");
+    assert_eq!(rig.sent[0].0, before, "it gets no more queries");
 }
 
 #[test]
-fn test_zone_is_cut_off() {
-    // Guards against dispatching that needs another zone: every datagram goes to a host of the own zone.
+fn test_dispatching_stays_within_the_zone() {
+    // Guards against dispatching datagrams to hosts of other zones, which a partition may separate.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
-    // `send` of the rig, which knows only this zone, fails at any other target.
-    run_steady(&mut rig, 6, 500);
+    // The rig knows only the hosts of this zone: its `send` fails for any other target.
+    serve_steady_load(&mut rig, 6, 500);
     assert!(rig.placed.iter().all(|syn| syn.dispatched));
 }
 
 #[test]
-fn test_syn_that_is_handed_in_late_is_not_parked_again() {
-    // Guards against a SYN that a host without processor time keeps several times over.
+fn test_syn_resumed_late_is_not_parked_again() {
+    // Guards against a SYN that is parked again each time when a host without processor time
+    // resumes it late.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.should_drop = Box::new(|datagram| matches!(datagram, PeerDatagram::Reply(_)));
@@ -369,7 +383,7 @@
 
 #[test]
 fn test_duplicate_of_a_parked_syn_is_not_placed() {
-    // Guards against a flow that is opened at two upstreams, one of which nobody uses.
+    // Guards against a flow that a duplicate of its SYN opens at a second upstream.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.packet(1, &open_head(1, 0));
@@ -381,7 +395,8 @@
 
 #[test]
 fn test_parked_syn_counts_a_silent_upstream_once() {
-    // Guards against a sound upstream that is ejected after half of the evidence, because each parked SYN counts twice.
+    // Guards against a healthy upstream that is ejected after half as many unanswered SYNs because
+    // each parked SYN counts twice.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.packet(1, &open_head(1, 0));
@@ -392,12 +407,14 @@
     assert_eq!(rig.park_count - before, 1);
     let records = rig.cores[1].upstreams().records();
     assert_eq!(
-        records.map(|record| record.silence.attempts()).sum::<u32>(),
+        records
+            .map(|record| record.failure_detector.attempts())
+            .sum::<u32>(),
         1
     );
 }
 
-/// The replies that a host has queued for a flow.
+/// Returns the decisions about a flow in the replies that a host has queued.
 fn queued_verdicts(rig: &mut DispatchRig, host: usize, flow: u32) -> Vec<DispatchVerdict> {
     let datagrams = rig.cores[host].take_dispatch_datagrams();
     let replies = datagrams.into_iter().filter_map(|due| match due.datagram {
@@ -407,23 +424,24 @@
     replies.collect()
 }
 
-/// A dispatcher whose upstreams are full, and which keeps a reserve for urgent flows.
-fn full_dispatcher() -> DispatchRig {
+/// Returns a rig whose dispatcher counts saturated upstreams and keeps a reserve for urgent flows.
+fn saturated_dispatcher() -> DispatchRig {
     let mut rig = DispatchRig::new(2, 2);
     rig.warm_up();
-    fill_upstreams(&mut rig);
+    saturate_upstreams(&mut rig);
     rig
 }
 
 #[test]
 fn test_waiting_flow_is_placed_when_requests_end() {
-    // Guards against flows that are refused though requests end within a part of their objective.
-    let mut rig = full_dispatcher();
+    // Guards against flows that are refused although requests end within the time that the flows
+    // may wait.
+    let mut rig = saturated_dispatcher();
     let waiting = DispatchQuery {
         hold_ms: 100,
         ..query(1, true)
     };
-    assert_eq!(verdict(&mut rig, 0, &waiting), DispatchVerdict::Wait);
+    assert_eq!(verdict_for(&mut rig, 0, &waiting), DispatchVerdict::Wait);
     assert_eq!(queued_verdicts(&mut rig, 0, 1), []);
     let now = rig.now;
     for flow in (1000..1100).chain(2000..2100) {
@@ -437,14 +455,15 @@
 }
 
 #[test]
-fn test_flow_that_waited_in_a_short_rush_is_deferred() {
-    // Guards against one waiting flow that is looked at with each event, and so passes for a rush that lasts.
-    let mut rig = full_dispatcher();
+fn test_flow_that_waited_in_a_short_burst_is_deferred() {
+    // Guards against one waiting flow that counts as continuing overload because it is evaluated
+    // with each event.
+    let mut rig = saturated_dispatcher();
     let waiting = DispatchQuery {
         hold_ms: 100,
         ..query(1, true)
     };
-    assert_eq!(verdict(&mut rig, 0, &waiting), DispatchVerdict::Wait);
+    assert_eq!(verdict_for(&mut rig, 0, &waiting), DispatchVerdict::Wait);
     let now = rig.now;
     for _event in 0..500 {
         rig.cores[0].handle_request_events(now, &[RequestEvent::Ended { flow: 1 }]);
@@ -458,7 +477,8 @@
 
 #[test]
 fn test_data_of_a_flow_whose_syn_is_parked_is_forwarded() {
-    // Guards against a flow that another host has opened, and that breaks or moves when its parked SYN is handed in.
+    // Guards against a flow that another host has opened, and that is reset or gets a second
+    // upstream when its parked SYN is resumed.
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.packet(1, &open_head(1, 0));
@@ -476,8 +496,9 @@
 }
 
 #[test]
-fn test_upstreams_of_another_service_teach_a_dispatcher_nothing() {
-    // Guards against a dispatcher that has learned one service and takes the upstreams of another for empty.
+fn test_dispatcher_learns_each_service_separately() {
+    // Guards against a dispatcher that has learned the requests of one service and considers the
+    // upstreams of another idle.
     let mut rig = DispatchRig::new(2, 2);
     rig.warm_up();
     let now = rig.now;
@@ -488,12 +509,13 @@
         service: service_tag(&"certs".into()),
         ..query(1, false)
     };
-    assert_eq!(verdict(&mut rig, 0, &other), DispatchVerdict::Unknown);
+    assert_eq!(verdict_for(&mut rig, 0, &other), DispatchVerdict::Unknown);
 }
 
 #[test]
-fn test_flow_that_goes_on_at_once_stays_counted() {
-    // Guards against busy flows that vanish from the counts because each acknowledgement carries the next request.
+fn test_flow_with_consecutive_requests_stays_counted() {
+    // Guards against busy flows that are no longer counted because each of their acknowledgements
+    // carries the next request.
     let mut rig = DispatchRig::new(2, 2);
     rig.warm_up();
     let busy = rig.place(1, 1).unwrap();
@@ -515,27 +537,37 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
     #[test]
     fn test_no_reset_of_a_flow_that_may_be_open(
-        repeat_after in prop_oneof![Just(NEVER), 0_u64..150], later in prop::array::uniform2(1_usize..3),
-        reply_delay in 1_u64..30, lost_until in prop_oneof![Just(0), 0_u64..40], resume_delay in 0_u64..350,
+        repeat_after in prop_oneof![Just(NEVER), 0_u64..150],
+        later in prop::array::uniform2(1_usize..3),
+        reply_delay in 1_u64..30,
+        lost_until in prop_oneof![Just(0), 0_u64..40],
+        resume_delay in 0_u64..350,
     ) {
-        // Guards against the reset of a flow one of whose SYNs, through this host or another, has been forwarded.
+        // Guards against the reset of a flow after this host or another one has forwarded one of
+        // its SYNs.
         let mut rig = DispatchRig::new(3, 2);
         rig.warm_up();
-        fill_dispatcher(&mut rig);
+        saturate_dispatcher(&mut rig);
         rig.reply_delay = Duration::from_millis(reply_delay);
         rig.resume_delay = Duration::from_millis(resume_delay);
-        // The network may deliver the first SYN twice.
-        let copies = [(0, 1, 0), (repeat_after, 1, 0), (200, later[0], 1), (600, later[1], 2)];
+        // Time in milliseconds, host and transmission of each SYN. The network may deliver the
+        // first SYN twice.
+        let transmissions = [
+            (0, 1, 0),
+            (repeat_after, 1, 0),
+            (200, later[0], 1),
+            (600, later[1], 2),
+        ];
         let mut may_be_open = false;
         for millis in 0..1100 {
             rig.should_drop = Box::new(move |datagram| {
                 millis < lost_until && matches!(datagram, PeerDatagram::Reply(_))
             });
-            let due = copies.iter().filter(|(at, ..)| *at == millis);
-            for (_at, host, copy) in due {
-                // A caller that was reset sends nothing more.
-                if rig.resets.is_empty() || *copy == 0 {
-                    rig.packet(*host, &open_head(1, *copy));
+            let due = transmissions.iter().filter(|(at, ..)| *at == millis);
+            for (_at, host, transmission) in due {
+                // A caller whose flow was reset does not retransmit.
+                if rig.resets.is_empty() || *transmission == 0 {
+                    rig.packet(*host, &open_head(1, *transmission));
                 }
             }
             prop_assert!(!may_be_open || rig.resets.is_empty(), "after {millis} ms");
@@ -545,8 +577,9 @@
     }
 }
 
-/// Lets the dispatcher count full upstreams, and keep a reserve for urgent flows.
-fn fill_upstreams(rig: &mut DispatchRig) {
+/// Reports requests that saturate the upstreams, and urgent flows for which the dispatcher then
+/// keeps a reserve.
+fn saturate_upstreams(rig: &mut DispatchRig) {
     let now = rig.now;
     for flow in 1000..1100 {
         let upstream = tag(1 + (flow % 2) as u8);
@@ -557,15 +590,19 @@
             priority: RequestPriority(0),
             ..query(flow, false)
         };
-        verdict(rig, 0, &urgent);
+        verdict_for(rig, 0, &urgent);
     }
 }
 
-/// Lets the dispatcher count more requests than it places less urgent flows at, in a rush that lasts.
-fn fill_dispatcher(rig: &mut DispatchRig) {
-    fill_upstreams(rig);
+/// Saturates the upstreams and queries 100 less urgent flows. The dispatcher refuses such flows
+/// afterwards.
+fn saturate_dispatcher(rig: &mut DispatchRig) {
+    saturate_upstreams(rig);
     for flow in 3000..3100 {
-        verdict(rig, 0, &query(flow, true));
+        verdict_for(rig, 0, &query(flow, true));
     }
-    assert_eq!(verdict(rig, 0, &query(1, true)), DispatchVerdict::Refuse);
+    assert_eq!(
+        verdict_for(rig, 0, &query(1, true)),
+        DispatchVerdict::Refuse
+    );
 }
--- a/packet/tests/test_failure_detector.rs
+++ b/packet/tests/test_failure_detector.rs
@@ -1,4 +1,5 @@
-//! Tests of telling a dark upstream from one that was unlucky.
+//! Tests of the failure detector: which sequences of responses and unanswered attempts eject an
+//! upstream, and which make it dead.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,155 +9,163 @@
 
 use crate::core_rig::caller;
 
-/// Something that happens to an upstream, in milliseconds.
+/// An observation of an upstream. Ages are in milliseconds.
 #[derive(Clone, Copy)]
-enum Happening {
-    /// It proves to be alive.
-    Sign,
-    /// It proved to be alive to another host, so long ago.
-    Elsewhere(u64),
-    /// An attempt of some caller that was sent so long ago has had no answer.
-    Failed(u64),
-    /// The same, always of one caller.
-    Same(u64),
-    /// Nothing, but the time passes on.
+enum Observation {
+    /// This host sees a response.
+    Response,
+    /// Another host reports a response of this age.
+    PeerResponse(u64),
+    /// An attempt of another caller than before, sent this long ago, is unanswered.
+    Unanswered(u64),
+    /// An attempt of caller 1, sent this long ago, is unanswered.
+    SameCaller(u64),
+    /// Nothing but a tick.
     Tick,
 }
 
 #[test]
-fn test_silence_cases() {
-    use Happening::*;
+fn test_ejected_and_dead_upstreams() {
+    use Observation::*;
     struct Case {
         name: &'static str,
-        happenings: &'static [(u64, Happening)],
-        avoided: bool,
-        dark: bool,
+        observations: &'static [(u64, Observation)],
+        ejected: bool,
+        dead: bool,
     }
     let cases = [
         Case {
             name: "one lost datagram",
-            happenings: &[(0, Sign), (300, Failed(200))],
-            avoided: false,
-            dark: false,
+            observations: &[(0, Response), (300, Unanswered(200))],
+            ejected: false,
+            dead: false,
         },
         Case {
-            name: "two attempts, nothing heard",
-            happenings: &[(0, Sign), (300, Failed(200)), (310, Failed(200))],
-            avoided: true,
-            dark: false,
+            name: "two attempts without a response",
+            observations: &[
+                (0, Response),
+                (300, Unanswered(200)),
+                (310, Unanswered(200)),
+            ],
+            ejected: true,
+            dead: false,
         },
         Case {
-            name: "an answer between the attempts",
-            happenings: &[
-                (0, Sign),
-                (300, Failed(200)),
-                (305, Sign),
-                (310, Failed(200)),
+            name: "a response between the attempts",
+            observations: &[
+                (0, Response),
+                (300, Unanswered(200)),
+                (305, Response),
+                (310, Unanswered(200)),
             ],
-            avoided: false,
-            dark: false,
+            ejected: false,
+            dead: false,
         },
         Case {
-            name: "an answer since the attempt was sent",
-            happenings: &[
-                (200, Sign),
-                (300, Failed(200)),
-                (310, Failed(200)),
-                (320, Failed(200)),
+            name: "a response since the attempts were sent",
+            observations: &[
+                (200, Response),
+                (300, Unanswered(200)),
+                (310, Unanswered(200)),
+                (320, Unanswered(200)),
             ],
-            avoided: false,
-            dark: false,
+            ejected: false,
+            dead: false,
         },
         Case {
-            name: "three attempts for long",
-            happenings: &[
-                (0, Sign),
-                (300, Failed(200)),
-                (310, Failed(200)),
-                (500, Failed(200)),
+            name: "three attempts over more than the minimum silence",
+            observations: &[
+                (0, Response),
+                (300, Unanswered(200)),
+                (310, Unanswered(200)),
+                (500, Unanswered(200)),
             ],
-            avoided: true,
-            dark: true,
+            ejected: true,
+            dead: true,
         },
         Case {
-            name: "three attempts at once are not long",
-            happenings: &[
-                (0, Sign),
-                (300, Failed(200)),
-                (300, Failed(200)),
-                (300, Failed(200)),
+            name: "three attempts at once, below the minimum silence",
+            observations: &[
+                (0, Response),
+                (300, Unanswered(200)),
+                (300, Unanswered(200)),
+                (300, Unanswered(200)),
             ],
-            avoided: true,
-            dark: false,
+            ejected: true,
+            dead: false,
         },
         Case {
-            name: "another host heard it since",
-            happenings: &[
-                (0, Sign),
-                (300, Failed(200)),
-                (310, Failed(200)),
-                (500, Failed(200)),
-                (510, Elsewhere(50)),
+            name: "another host saw a later response",
+            observations: &[
+                (0, Response),
+                (300, Unanswered(200)),
+                (310, Unanswered(200)),
+                (500, Unanswered(200)),
+                (510, PeerResponse(50)),
             ],
-            avoided: false,
-            dark: false,
+            ejected: false,
+            dead: false,
         },
         Case {
-            name: "another host heard it before",
-            happenings: &[
-                (0, Sign),
-                (300, Failed(200)),
-                (310, Failed(200)),
-                (500, Failed(200)),
-                (510, Elsewhere(450)),
+            name: "another host saw an earlier response",
+            observations: &[
+                (0, Response),
+                (300, Unanswered(200)),
+                (310, Unanswered(200)),
+                (500, Unanswered(200)),
+                (510, PeerResponse(450)),
             ],
-            avoided: true,
-            dark: true,
+            ejected: true,
+            dead: true,
         },
         Case {
-            name: "copies that come too soon",
-            happenings: &[
-                (0, Sign),
-                (300, Failed(1)),
-                (310, Failed(3)),
-                (900, Failed(100)),
+            name: "retransmissions that come too soon",
+            observations: &[
+                (0, Response),
+                (300, Unanswered(1)),
+                (310, Unanswered(3)),
+                (900, Unanswered(100)),
             ],
-            avoided: false,
-            dark: false,
+            ejected: false,
+            dead: false,
         },
         Case {
-            name: "old attempts do not add up with a new one",
-            happenings: &[
-                (300, Failed(200)),
-                (310, Failed(200)),
-                (320, Failed(200)),
-                (9000, Failed(500)),
+            name: "expired attempts do not add to a new one",
+            observations: &[
+                (300, Unanswered(200)),
+                (310, Unanswered(200)),
+                (320, Unanswered(200)),
+                (9000, Unanswered(500)),
             ],
-            avoided: true,
-            dark: false,
+            ejected: true,
+            dead: false,
         },
         Case {
-            name: "one caller alone",
-            happenings: &[
-                (0, Sign),
-                (300, Same(200)),
-                (700, Same(600)),
-                (1500, Same(1400)),
+            name: "attempts of one caller",
+            observations: &[
+                (0, Response),
+                (300, SameCaller(200)),
+                (700, SameCaller(600)),
+                (1500, SameCaller(1400)),
             ],
-            avoided: true,
-            dark: false,
+            ejected: true,
+            dead: false,
         },
         Case {
-            name: "it answers again",
-            happenings: &[(300, Failed(200)), (310, Failed(200)), (900, Sign)],
-            avoided: false,
-            dark: false,
+            name: "a response after the ejection",
+            observations: &[
+                (300, Unanswered(200)),
+                (310, Unanswered(200)),
+                (900, Response),
+            ],
+            ejected: false,
+            dead: false,
         },
         Case {
-            name: "time alone proves nothing",
-            happenings: &[(300, Failed(200)), (310, Failed(200)), (5000, Tick)],
-            avoided: true,
-            dark: false,
+            name: "the end of the ejection time is no response",
+            observations: &[(300, Unanswered(200)), (310, Unanswered(200)), (5000, Tick)],
+            ejected: true,
+            dead: false,
         },
     ];
     for case in cases {
@@ -165,41 +174,46 @@
         let config = DetectorConfig::default();
         let mut detector = FailureDetector::default();
         let mut now = start;
-        for (millis, happening) in case.happenings {
+        for (millis, observation) in case.observations {
             now = at(*millis);
-            let before = |ago: u64| now - Duration::from_millis(ago);
-            match happening {
-                Sign => {
+            let time_before = |age: u64| now - Duration::from_millis(age);
+            match observation {
+                Response => {
                     detector.record_response(now);
                 }
-                Elsewhere(ago) => detector.remote_response(before(*ago)),
-                Failed(ago) => {
-                    detector.attempt_failed(&config, now, before(*ago), caller(*millis as u16));
+                PeerResponse(age) => detector.peer_response(time_before(*age)),
+                Unanswered(age) => {
+                    detector.attempt_failed(
+                        &config,
+                        now,
+                        time_before(*age),
+                        caller(*millis as u16),
+                    );
                 }
-                Same(ago) => {
-                    detector.attempt_failed(&config, now, before(*ago), caller(1));
+                SameCaller(age) => {
+                    detector.attempt_failed(&config, now, time_before(*age), caller(1));
                 }
                 Tick => detector.tick(now),
             }
         }
         assert_eq!(
             detector.is_ejected(),
-            case.avoided,
-            "{}: avoided",
+            case.ejected,
+            "{}: ejected",
             case.name
         );
         assert_eq!(
             detector.is_dead(&config, now),
-            case.dark,
-            "{}: dark",
+            case.dead,
+            "{}: dead",
             case.name
         );
     }
 }
 
 #[test]
-fn test_avoided_upstream_is_tried_with_pauses() {
-    // Guards against an ejected upstream that is never probed, or probed all the time.
+fn test_ejected_upstream_is_probed_at_intervals() {
+    // Guards against an ejected upstream that is never probed, or is probed continuously.
     let start = Instant::now();
     let at = |millis: u64| start + Duration::from_millis(millis);
     let config = DetectorConfig::default();
@@ -208,13 +222,13 @@
     detector.attempt_failed(&config, at(200), at(0), caller(1));
     assert!(
         !detector.wants_probe(at(900)),
-        "not while the first second runs"
+        "not during the first second"
     );
     detector.tick(at(1300));
     assert!(detector.wants_probe(at(1300)));
     detector.probe_sent(&config, at(1300));
     assert!(!detector.wants_probe(at(1500)));
     assert!(detector.wants_probe(at(1600)));
-    assert!(detector.record_response(at(1650)), "it had been avoided");
+    assert!(detector.record_response(at(1650)), "it was ejected");
     assert!(!detector.is_ejected());
 }
--- a/packet/tests/test_fleet_reading.rs
+++ b/packet/tests/test_fleet_reading.rs
@@ -1,4 +1,4 @@
-//! Tests of who reads the store in a fleet of hundreds, in virtual time.
+//! Tests of which hosts read the store in fleets of up to 350 hosts, in virtual time.
 
 use std::time::Duration;
 
@@ -10,29 +10,31 @@
 use crate::fleet_rig::*;
 use crate::fleet_store::StoreCall;
 
-/// The time in which a change has to be in force, with the second that a store may take to answer.
+/// Maximum time until every host applies a change, with the second that the store may take to
+/// respond.
 const IN_FORCE_MILLIS: u64 = 3000;
 
-/// Two zones as large as those of the largest deployment, with three large hosts each.
-fn two_zones(seed: u64) -> FleetRig {
+/// Returns a fleet that has not started, in two zones of the size of those in the largest
+/// deployment, with three large hosts each.
+fn new_two_zones(seed: u64) -> FleetRig {
     FleetRig::new(&FleetPlan {
         zones: 2,
-        hosts_a_zone: 70,
-        large_a_zone: 3,
+        hosts_per_zone: 70,
+        large_hosts_per_zone: 3,
         seed,
     })
 }
 
-/// The same, that has been running for some seconds.
-fn settled_zones(seed: u64) -> FleetRig {
-    let mut rig = two_zones(seed);
+/// Returns the fleet of [`new_two_zones`] after it has run for 8 s.
+fn running_two_zones(seed: u64) -> FleetRig {
+    let mut rig = new_two_zones(seed);
     rig.start_all();
     rig.pass(8000);
     rig
 }
 
-/// The one upstream, as it says that it is leaving.
-fn drained_entry() -> UpstreamEntry {
+/// Returns the registration of upstream 1, draining.
+fn draining_entry() -> UpstreamEntry {
     UpstreamEntry {
         state: EntryState::Draining,
         ..entry(1, "ledger")
@@ -45,13 +47,13 @@
 }
 
 #[test]
-fn test_few_hosts_read_in_a_fleet_that_starts() {
-    // Guards against many watchers a zone while hosts do not know each other yet.
+fn test_few_hosts_read_while_a_fleet_starts() {
+    // Guards against many readers per zone while hosts do not know each other yet.
     for seed in 1..=2 {
         let mut rig = FleetRig::new(&FleetPlan {
             zones: 4,
-            hosts_a_zone: 70,
-            large_a_zone: 3,
+            hosts_per_zone: 70,
+            large_hosts_per_zone: 3,
             seed,
         });
         rig.start_all();
@@ -59,13 +61,14 @@
         for second in 1..=12 {
             rig.pass_with_changes(1000, 200);
             let counts = reader_counts(&rig);
-            // Two read for a moment when a larger host takes over, and for no longer.
-            let settled = |zone: usize| counts[zone] == 1 || counts[zone] == 2 && before[zone] == 1;
-            let held = match second {
+            // Two hosts of a zone may read for a moment when a larger host takes over.
+            let is_steady =
+                |zone: usize| counts[zone] == 1 || counts[zone] == 2 && before[zone] == 1;
+            let is_expected = match second {
                 ..=3 => counts.iter().all(|count| *count <= 14),
-                _ => (0..counts.len()).all(settled),
+                _ => (0..counts.len()).all(is_steady),
             };
-            assert!(held, "seed {seed}, second {second}: {counts:?} read");
+            assert!(is_expected, "seed {seed}, second {second}: {counts:?} read");
             before = counts;
         }
         assert_eq!(reader_counts(&rig), [1; 4], "seed {seed}");
@@ -80,12 +83,12 @@
 }
 
 #[test]
-fn test_lost_reader_is_replaced_by_few() {
-    // Guards against a zone that learns of no change, or all of whose hosts call the store, when
-    // its watcher fails.
+fn test_failed_reader_is_replaced_by_few() {
+    // Guards against a zone that gets no changes, or all of whose hosts call the store, after its
+    // reader has failed.
     struct Case {
         name: &'static str,
-        fail: fn(&mut FleetRig, HostPlace),
+        fail: fn(&mut FleetRig, HostIndex),
     }
     let cases = [
         Case {
@@ -97,83 +100,98 @@
             fail: |rig, reader| rig.freeze(reader, Duration::from_secs(5)),
         },
         Case {
-            name: "turned away by the store",
+            name: "rejected by the store",
             fail: |rig, reader| rig.hosts[reader].served = false,
         },
         Case {
-            name: "cut off from its zone",
-            fail: |rig, reader| rig.part([reader]),
+            name: "partitioned from its zone",
+            fail: |rig, reader| rig.isolate([reader]),
         },
         Case {
-            name: "turned away with every third host",
+            name: "rejected by the store with every third host",
             fail: |rig, reader| {
                 let members = 0..rig.hosts.len();
-                let refused = members.filter(|place| *place == reader || place % 3 == 0);
-                for place in refused.collect::<Vec<_>>() {
-                    rig.hosts[place].served = false;
+                let refused = members.filter(|index| *index == reader || index % 3 == 0);
+                for index in refused.collect::<Vec<_>>() {
+                    rig.hosts[index].served = false;
                 }
             },
         },
     ];
     for case in cases {
-        let mut rig = settled_zones(3);
+        let mut rig = running_two_zones(3);
         let zone: ZoneName = "zone-1".into();
-        let first = rig.readers(&zone)[0];
+        let first_reader = rig.readers(&zone)[0];
         rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
         rig.pass(200);
-        (case.fail)(&mut rig, first);
+        (case.fail)(&mut rig, first_reader);
         let before = rig.now;
-        rig.publish(|revision| upstream_item(revision, drained_entry()));
+        rig.publish(|revision| upstream_item(revision, draining_entry()));
         rig.pass(IN_FORCE_MILLIS);
-        let unaware = (0..rig.hosts.len()).filter(|place| {
-            *place != first && rig.hosts[*place].zone == zone && rig.places_flows(*place)
+        let unaware = (0..rig.hosts.len()).filter(|index| {
+            *index != first_reader && rig.hosts[*index].zone == zone && rig.places_flows(*index)
         });
-        assert_eq!(unaware.count(), 0, "{}: hosts that miss it", case.name);
-        let others = rig
+        assert_eq!(
+            unaware.count(),
+            0,
+            "{}: hosts that still place flows",
+            case.name
+        );
+        let other_readers = rig
             .readers(&zone)
             .into_iter()
-            .filter(|place| *place != first);
-        assert!((1..=3).contains(&others.count()), "{}", case.name);
+            .filter(|index| *index != first_reader);
+        assert!((1..=3).contains(&other_readers.count()), "{}", case.name);
         let calls = rig.calls_since(before, StoreCall::Watch);
         assert!(calls <= 30, "{}: {calls} watches", case.name);
-        let listed = rig.calls_since(before, StoreCall::List);
-        assert_eq!(listed, 0, "{}", case.name);
+        let lists = rig.calls_since(before, StoreCall::List);
+        assert_eq!(lists, 0, "{}", case.name);
         rig.pass(4000);
-        let unaware = rig.hosts[first].alive && rig.places_flows(first);
-        assert!(!unaware, "{}: the former reader misses it", case.name);
+        let unaware = rig.hosts[first_reader].alive && rig.places_flows(first_reader);
+        assert!(
+            !unaware,
+            "{}: the previous reader still places flows",
+            case.name
+        );
     }
 }
 
 #[test]
-fn test_both_halves_of_a_parted_zone_are_read_for() {
-    // Guards against a part of a partitioned zone without a watcher, and two watchers once it has
-    // healed.
-    let mut rig = settled_zones(4);
+fn test_both_halves_of_a_partitioned_zone_have_a_reader() {
+    // Guards against a side of a partitioned zone without a reader, and against two readers after
+    // the partition.
+    let mut rig = running_two_zones(4);
     let zone: ZoneName = "zone-1".into();
-    let half = 0..35;
-    rig.part(half.clone());
+    let isolated = 0..35;
+    rig.isolate(isolated.clone());
     rig.pass(IN_FORCE_MILLIS);
-    rig.publish(|revision| upstream_item(revision, drained_entry()));
+    rig.publish(|revision| upstream_item(revision, draining_entry()));
     rig.pass(IN_FORCE_MILLIS);
-    let unaware = (0..rig.hosts.len()).filter(|place| rig.places_flows(*place));
-    assert_eq!(unaware.count(), 0, "hosts that miss a drain");
+    let unaware = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
+    assert_eq!(unaware.count(), 0, "hosts that still place flows");
     let readers = rig.readers(&zone);
-    let within = readers.iter().filter(|place| half.contains(*place)).count();
-    assert!(within >= 1 && readers.len() > within, "{readers:?}");
-    rig.part([]);
+    let isolated_readers = readers
+        .iter()
+        .filter(|index| isolated.contains(*index))
+        .count();
+    assert!(
+        isolated_readers >= 1 && readers.len() > isolated_readers,
+        "{readers:?}"
+    );
+    rig.isolate([]);
     rig.pass(3000);
     assert_eq!(rig.readers(&zone).len(), 1);
 }
 
 #[test]
-fn test_hosts_that_are_replaced_read_no_list() {
-    // Guards against a listing of the store for each restart although a peer has the state.
-    let mut rig = settled_zones(5);
+fn test_restarted_hosts_do_not_list_the_store() {
+    // Guards against a listing of the store by each restarted host although a peer has the state.
+    let mut rig = running_two_zones(5);
     let before = rig.now;
-    for place in (0..rig.hosts.len()).step_by(3) {
-        rig.kill(place);
+    for index in (0..rig.hosts.len()).step_by(3) {
+        rig.kill(index);
         rig.pass(100);
-        rig.start(place, Duration::ZERO);
+        rig.start(index, Duration::ZERO);
         rig.pass(100);
     }
     rig.pass(1000);
@@ -183,26 +201,27 @@
 }
 
 #[test]
-fn test_host_with_an_old_state_catches_up() {
-    // Guards against a new host that stays with the stale state of the one peer it knows.
-    let mut rig = settled_zones(6);
+fn test_host_with_stale_state_catches_up() {
+    // Guards against a new host that keeps the stale state of the one peer that it reaches.
+    let mut rig = running_two_zones(6);
     let (stale, fresh) = (0, 69);
     rig.kill(fresh);
-    rig.part([stale, fresh]);
+    rig.isolate([stale, fresh]);
     rig.hosts[stale].served = false;
     rig.pass_with_changes(4000, 500);
     let changed = rig.position();
     rig.start(fresh, Duration::ZERO);
     rig.pass(200);
-    assert!(rig.hosts[fresh].core.is_ready(), "by its peer's state");
+    assert!(rig.hosts[fresh].core.is_ready(), "with its peer's state");
     assert!(rig.hosts[fresh].core.view().through() < changed);
     rig.pass(IN_FORCE_MILLIS);
     assert_eq!(rig.hosts[fresh].core.view().through(), changed);
 }
 
 #[test]
-fn test_fleet_that_returns_shares_what_few_have_read() {
-    // Guards against a fleet that starts at once and shares the store's link, so that all are late.
+fn test_starting_fleet_gets_its_state_from_few_readers() {
+    // Guards against a fleet that starts at once and all of whose hosts list the store: they share
+    // its link, and all become ready late.
     struct Case {
         name: &'static str,
         list_bytes: f64,
@@ -211,13 +230,13 @@
     }
     let cases = [
         Case {
-            name: "a long list",
+            name: "long list",
             list_bytes: 460_000.0,
             half_ms: 800,
             all_ms: 1200,
         },
         Case {
-            name: "a short list",
+            name: "short list",
             list_bytes: 235_000.0,
             half_ms: 800,
             all_ms: 1000,
@@ -226,8 +245,8 @@
     for case in cases {
         let mut rig = FleetRig::new(&FleetPlan {
             zones: 5,
-            hosts_a_zone: 70,
-            large_a_zone: 3,
+            hosts_per_zone: 70,
+            large_hosts_per_zone: 3,
             seed: 1,
         });
         rig.list_bytes = case.list_bytes;
@@ -250,12 +269,12 @@
 }
 
 #[test]
-fn test_hosts_that_seek_do_not_answer_each_other_without_end() {
-    // Guards against hellos and replies without end between two hosts that have no state.
+fn test_hosts_without_state_do_not_exchange_heartbeats_endlessly() {
+    // Guards against two hosts without state that reply to each other's heartbeats endlessly.
     let mut rig = FleetRig::new(&FleetPlan {
         zones: 2,
-        hosts_a_zone: 1,
-        large_a_zone: 0,
+        hosts_per_zone: 1,
+        large_hosts_per_zone: 0,
         seed: 7,
     });
     for host in &mut rig.hosts {
--- a/packet/tests/test_load_failures.rs
+++ b/packet/tests/test_load_failures.rs
@@ -91,7 +91,7 @@
 #[test]
 fn test_aggregator_that_is_cut_off_is_replaced() {
     let (mut fleet, aggregator) = contended_zone();
-    fleet.rig.part([aggregator]);
+    fleet.rig.isolate([aggregator]);
     run_until_replaced(&mut fleet, aggregator);
     let (reporters, age) = fleet.load_status(aggregator);
     assert_eq!(reporters, 1, "the isolated host uses its own counts");
@@ -102,7 +102,7 @@
 #[test]
 fn test_exchange_continues_without_other_zones() {
     let mut fleet = LoadFleet::with_zones(2, 8, &CONTENDED_FLOWS);
-    fleet.rig.part(8..16);
+    fleet.rig.isolate(8..16);
     fleet.run_flows(4000);
     for host in 0..8 {
         assert_eq!(fleet.load_status(host).0, 8, "host {host}");
