--- a/packet/tests/test_lost_upstreams.rs
+++ b/packet/tests/test_lost_upstreams.rs
@@ -1,4 +1,4 @@
-//! Tests of upstreams that fall silent: whom to avoid, and which flows to end.
+//! Tests of upstreams that stop responding: which are ejected, and which flows are reset.
 
 use std::time::Duration;
 
@@ -11,37 +11,37 @@
 use crate::core_rig::*;
 
 #[test]
-fn test_dark_upstream_is_avoided_and_its_flows_are_ended() {
-    // Guards against callers that wait for their deadlines at a dead upstream that is still
+fn test_dead_upstream_is_ejected_and_its_flows_are_reset() {
+    // Guards against callers that wait until their timeout for a dead upstream that is still
     // registered.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
     let flows: Vec<(u16, u8)> = (0..30).map(|flow| (flow, rig.establish(flow))).collect();
-    let dark: Vec<u16> = flows
+    let on_dead: Vec<u16> = flows
         .iter()
         .filter(|(_flow, at)| *at == 1)
         .map(|(flow, _at)| *flow)
         .collect();
-    assert!(dark.len() >= 4);
+    assert!(on_dead.len() >= 4);
     rig.pass(1000);
-    for flow in &dark[..3] {
+    for flow in &on_dead[..3] {
         assert_eq!(forwarded(&rig.request(*flow, 1, 0)), [1]);
     }
     rig.pass(200);
-    for flow in &dark[..3] {
+    for flow in &on_dead[..3] {
         rig.request(*flow, 1, 0);
     }
     rig.pass(200);
-    let actions = rig.request(dark[3], 1, 0);
+    let actions = rig.request(on_dead[3], 1, 0);
     assert_eq!(reset_code(&actions), Some(ResultCode::UpstreamSilent));
     for flow in 100..130 {
-        assert_ne!(rig.open(flow, 0)[0], 1, "a new flow into the dark");
+        assert_ne!(rig.open(flow, 0)[0], 1, "a new flow to a dead upstream");
     }
 }
 
 #[test]
-fn test_idle_flows_of_a_dark_upstream_are_ended_before_they_are_used() {
-    // Guards against a request that may not be retried and is sent on an idle flow of a dead
-    // upstream.
+fn test_idle_flows_of_a_dead_upstream_are_reset_before_they_are_used() {
+    // Guards against a request that is not idempotent and is sent on an idle flow of a dead
+    // upstream, since its caller must not send it again.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
     let flows: Vec<(u16, u8)> = (0..30).map(|flow| (flow, rig.establish(flow))).collect();
     let on = |upstream: u8| {
@@ -59,20 +59,20 @@
         rig.pass(200);
     }
     rig.pass(200);
-    let mut ended: Vec<_> = rig.resets.iter().map(|reset| reset.caller).collect();
-    ended.sort_unstable();
+    let mut reset_callers: Vec<_> = rig.resets.iter().map(|reset| reset.caller).collect();
+    reset_callers.sort_unstable();
     assert_eq!(
-        ended,
+        reset_callers,
         on(1).map(caller).collect::<Vec<_>>(),
-        "all of its flows, and no other"
+        "all flows of the dead upstream, and no others"
     );
     let kept = on(2).next().expect("a flow at 2");
     assert_eq!(forwarded(&rig.request(kept, 2, 0)), [2]);
 }
 
 #[test]
-fn test_slow_answer_ends_no_flow() {
-    // Guards against a slow response that ends a flow of a live upstream.
+fn test_slow_response_resets_no_flow() {
+    // Guards against a slow response that causes a reset of a live upstream's flow.
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.establish(1);
     rig.establish(2);
@@ -83,14 +83,18 @@
         rig.acknowledge(2, 1, turn);
         rig.pass(150);
         let again = rig.request(1, 1, 0);
-        assert_eq!(forwarded(&again), [1], "after {turn} answers to others");
+        assert_eq!(
+            forwarded(&again),
+            [1],
+            "after {turn} responses on another flow"
+        );
     }
     assert!(rig.resets.is_empty());
 }
 
 #[test]
-fn test_many_silent_upstreams_end_no_flow() {
-    // Guards against a fault of this host's own link that ends every flow.
+fn test_no_flow_is_reset_when_no_upstream_responds() {
+    // Guards against a fault of this host's own link that causes a reset of every flow.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
     let flows: Vec<(u16, u8)> = (0..30).map(|flow| (flow, rig.establish(flow))).collect();
     rig.pass(500);
@@ -107,8 +111,9 @@
 }
 
 #[test]
-fn test_frozen_host_blames_nobody() {
-    // Guards against retransmissions that piled up in a frozen host and look like dead upstreams.
+fn test_reported_stall_resets_no_flow() {
+    // Guards against retransmissions that queue up during a stall of the host and make live
+    // upstreams look dead.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<(u16, u8)> = (0..16).map(|flow| (flow, rig.establish(flow))).collect();
     rig.pass(500);
@@ -123,15 +128,16 @@
             assert_eq!(
                 forwarded(&again),
                 [*upstream],
-                "a flow that lives was ended"
+                "the flow of a live upstream was reset"
             );
         }
     }
 }
 
 #[test]
-fn test_host_that_was_held_up_blames_nobody() {
-    // Guards against the same in a stalled process whose steady clock goes on.
+fn test_unreported_stall_resets_no_flow() {
+    // Guards against the same after a stall that the core is not told of, and that it detects by
+    // the time since its last tick or packet.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<(u16, u8)> = (0..24).map(|flow| (flow, rig.establish(flow))).collect();
     rig.pass(500);
@@ -146,15 +152,15 @@
         }
     }
     rig.pass(1500);
-    assert!(rig.resets.is_empty(), "flows that live were ended");
+    assert!(rig.resets.is_empty(), "flows of live upstreams were reset");
     rig.pass(8000);
     let (flow, upstream) = on_first().next().expect("a flow at 1");
     assert_eq!(forwarded(&rig.request(*flow, *upstream, 1)), [1]);
 }
 
 #[test]
-fn test_reordered_packets_are_no_repetition() {
-    // Guards against reordered packets that count as retransmissions.
+fn test_reordered_packets_are_not_retransmissions() {
+    // Guards against reordered packets that count as unanswered attempts.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<u16> = (0..40).filter(|flow| rig.establish(*flow) == 1).collect();
     rig.pass(500);
@@ -165,8 +171,8 @@
         }
         rig.pass(60);
     }
-    assert!(rig.resets.is_empty(), "flows that live were ended");
-    let avoided = rig.events.iter().any(|event| {
+    assert!(rig.resets.is_empty(), "flows of live upstreams were reset");
+    let is_ejected = rig.events.iter().any(|event| {
         matches!(
             event,
             DecisionEvent::Upstream {
@@ -175,12 +181,12 @@
             }
         )
     });
-    assert!(!avoided, "a live upstream is avoided");
+    assert!(!is_ejected, "a live upstream is ejected");
 }
 
 #[test]
-fn test_old_silence_ends_no_flow() {
-    // Guards against attempts of long ago that end a flow.
+fn test_expired_attempts_reset_no_flow() {
+    // Guards against expired unanswered attempts that cause a reset.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<u16> = (0..12).filter(|flow| rig.establish(*flow) == 1).collect();
     rig.pass(1000);
@@ -191,27 +197,32 @@
         rig.pass(100);
     }
     rig.pass(10_000);
-    assert_eq!(forwarded(&rig.request(500, 1, 3)), [1], "a flow that lives");
+    assert_eq!(
+        forwarded(&rig.request(500, 1, 3)),
+        [1],
+        "the flow of a live upstream"
+    );
 }
 
 #[test]
-fn test_registrations_that_lapse_with_the_store() {
-    // Guards against upstreams that go out of use because the store was down.
+fn test_registrations_that_lapse_while_the_store_is_down() {
+    // Guards against upstreams that go out of use because their registrations lapsed during an
+    // outage of the store.
     struct Case {
         name: &'static str,
-        answers: bool,
-        still_used: bool,
+        responds: bool,
+        stays_used: bool,
     }
     let cases = [
         Case {
-            name: "one that answers is used on",
-            answers: true,
-            still_used: true,
+            name: "an upstream that responds stays in use",
+            responds: true,
+            stays_used: true,
         },
         Case {
-            name: "one that is silent is gone",
-            answers: false,
-            still_used: false,
+            name: "an upstream that does not respond is deregistered",
+            responds: false,
+            stays_used: false,
         },
     ];
     for case in cases {
@@ -220,23 +231,28 @@
             .find(|flow| rig.establish(*flow) == 1)
             .expect("a flow at 1");
         rig.pass(3000);
-        if case.answers {
+        if case.responds {
             rig.request(flow, 1, 0);
             rig.pass(20);
             rig.acknowledge(flow, 1, 0);
         }
         rig.publish(|revision| removed_item(revision, 1));
         let used = (100..140).any(|flow| rig.open(flow, 0).contains(&1));
-        assert_eq!(used, case.still_used, "{}", case.name);
+        assert_eq!(used, case.stays_used, "{}", case.name);
         rig.pass(2600);
         let used = (200..240).any(|flow| rig.open(flow, 0).contains(&1));
-        assert!(!used, "{}: still missing after the grace", case.name);
+        assert!(
+            !used,
+            "{}: not registered again within the grace time",
+            case.name
+        );
     }
 }
 
 #[test]
-fn test_flow_of_a_former_upstream() {
-    // Guards against flows that end with the registration, or wait at an upstream that is gone.
+fn test_flow_of_a_deregistered_upstream() {
+    // Guards against flows that are reset with the deregistration of an upstream that still
+    // responds, and against flows that wait for one that no longer exists.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     rig.pass(2000);
     let flow = (0..10)
@@ -252,7 +268,7 @@
     assert_eq!(
         forwarded(&rig.request(flow, 1, 1)),
         [1],
-        "it answered just now"
+        "it responded recently"
     );
     rig.pass(700);
     let actions = rig.request(flow, 1, 1);
@@ -261,7 +277,7 @@
 
 #[test]
 fn test_flow_of_an_upstream_from_before_the_start() {
-    // Guards against a restarted host that resets flows of upstreams whose registration only
+    // Guards against a restarted host that resets flows of upstreams whose registration has only
     // lapsed.
     struct Case {
         name: &'static str,
@@ -271,19 +287,19 @@
     }
     let cases = [
         Case {
-            name: "right after the start",
+            name: "shortly after the start",
             wait_ms: 100,
             store_lost: false,
             expected: "drop 208",
         },
         Case {
-            name: "with the store away",
+            name: "the store is unreachable",
             wait_ms: 9000,
             store_lost: true,
             expected: "drop 208",
         },
         Case {
-            name: "sure that it is gone",
+            name: "in sync with the store for long",
             wait_ms: 9000,
             store_lost: false,
             expected: "reset 208",
--- a/packet/tests/test_moved_callers.rs
+++ b/packet/tests/test_moved_callers.rs
@@ -1,4 +1,4 @@
-//! Tests of callers that move to another availability zone with their flows open.
+//! Tests of callers that move to another availability zone while their flows are open.
 
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::packet_head::PacketHead;
@@ -6,9 +6,10 @@
 
 use crate::core_rig::*;
 
-/// The upstream of the zone that the caller came from.
+/// Upstream in the zone that the caller came from.
 const REMOTE_UPSTREAM: u8 = 9;
 
+/// Returns the registration of an upstream in zone `b`.
 fn remote_entry(number: u8) -> UpstreamEntry {
     UpstreamEntry {
         zone: "b".into(),
@@ -16,22 +17,22 @@
     }
 }
 
-/// A host of the caller's new zone, with idle upstreams of its own.
-fn new_zone() -> CoreRig {
+/// Creates a host of the caller's new zone, which has idle upstreams of its own.
+fn new_zone_host() -> CoreRig {
     let local = [1, 2, 3].map(|number| entry(number, "ledger"));
     let entries = local.into_iter().chain([remote_entry(REMOTE_UPSTREAM)]);
     CoreRig::with_entries(entries.collect())
 }
 
-/// A request of the caller's open flow, sent the first time or again.
+/// Returns the head of a request packet of the caller's open flow.
 fn request_head() -> PacketHead {
     established_head(7, REMOTE_UPSTREAM, 100, 500, 100)
 }
 
 #[test]
-fn test_open_flow_follows_its_caller() {
-    // Guards against an open flow that is placed anew when its caller changes zones.
-    let mut rig = new_zone();
+fn test_open_flow_stays_at_its_upstream() {
+    // Guards against an open flow that is placed again when its caller changes zones.
+    let mut rig = new_zone_host();
     for turn in 0..20 {
         let head = established_head(7, REMOTE_UPSTREAM, turn * 100, 1 + turn * 500, 100);
         assert_eq!(
@@ -46,55 +47,60 @@
 }
 
 #[test]
-fn test_post_sent_again_reaches_one_upstream() {
-    // Guards against a retransmitted request that runs at a second upstream.
-    let mut rig = new_zone();
+fn test_retransmitted_request_reaches_one_upstream() {
+    // Guards against a retransmitted request that a second upstream executes.
+    let mut rig = new_zone_host();
     for pause in [200, 400, 800, 1600] {
         assert_eq!(forwarded(&rig.packet(&request_head())), [REMOTE_UPSTREAM]);
         rig.pass(pause);
     }
-    assert_eq!(rig.resets.len(), 0, "one caller's silence ends no flow");
+    assert_eq!(
+        rig.resets.len(),
+        0,
+        "unanswered attempts of one caller reset no flow"
+    );
 }
 
 #[test]
-fn test_flow_of_an_upstream_that_is_not_known() {
-    // Guards against a host that resets or misroutes flows of upstreams it has not learnt of yet.
+fn test_packet_of_an_unknown_upstream() {
+    // Guards against a host that resets or misroutes flows of upstreams whose registration it has
+    // not received yet.
     struct Case {
         name: &'static str,
-        held_ms: u64,
-        learns: bool,
+        state_age_ms: u64,
+        receives_registration: bool,
         expected: &'static str,
     }
     let cases = [
         Case {
-            name: "at once",
-            held_ms: 0,
-            learns: false,
+            name: "immediately",
+            state_age_ms: 0,
+            receives_registration: false,
             expected: "drop 208",
         },
         Case {
-            name: "a second later, when the registration has come",
-            held_ms: 1000,
-            learns: true,
+            name: "after a second, with the registration received",
+            state_age_ms: 1000,
+            receives_registration: true,
             expected: "forward",
         },
         Case {
-            name: "a second later without",
-            held_ms: 1000,
-            learns: false,
+            name: "after a second, without the registration",
+            state_age_ms: 1000,
+            receives_registration: false,
             expected: "drop 208",
         },
         Case {
-            name: "when the state has been held for long",
-            held_ms: 8000,
-            learns: false,
+            name: "with a state held for long",
+            state_age_ms: 8000,
+            receives_registration: false,
             expected: "reset 208",
         },
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
-        rig.pass(case.held_ms);
-        if case.learns {
+        rig.pass(case.state_age_ms);
+        if case.receives_registration {
             rig.publish(|revision| upstream_item(revision, remote_entry(REMOTE_UPSTREAM)));
         }
         let actions = rig.packet(&request_head());
@@ -105,8 +111,8 @@
 
 #[test]
 fn test_packet_without_a_tag_is_not_placed() {
-    // Guards against a packet without a tag that runs a request twice.
-    let mut rig = new_zone();
+    // Guards against a packet without a tag that causes a request to be executed twice.
+    let mut rig = new_zone_host();
     let head = PacketHead {
         tag: 0,
         ..request_head()
--- a/packet/tests/test_answer_record.rs
+++ b/packet/tests/test_outlier_detector.rs
@@ -1,74 +1,74 @@
-//! Tests of what makes an upstream failing, and of how long.
+//! Tests of the outlier detector: which request outcomes eject an upstream, and for how long.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use lagoonproxy_packet::health::answer_record::AnswerCounts;
-use lagoonproxy_packet::health::answer_record::AnswerRecord;
-use lagoonproxy_packet::health::answer_record::AnswerSize;
+use lagoonproxy_packet::health::outlier_detector::OutcomeCounts;
+use lagoonproxy_packet::health::outlier_detector::OutlierDetector;
+use lagoonproxy_packet::health::outlier_detector::ResponseSizeMean;
 use lagoonproxy_packet::policy_config::OutlierConfig;
 
 #[test]
-fn test_share_of_failed_requests_decides() {
+fn test_share_of_failed_requests_ejects() {
     struct Case {
         name: &'static str,
         served: u32,
         failed: u32,
-        elsewhere: AnswerCounts,
+        elsewhere: OutcomeCounts,
         failing: bool,
     }
-    let none = AnswerCounts::default();
+    let none = OutcomeCounts::default();
     let cases = [
         Case {
-            name: "serves all",
+            name: "all requests served",
             served: 40,
             failed: 0,
             elsewhere: none,
             failing: false,
         },
         Case {
-            name: "two lost packets are no failure",
+            name: "two failures are below the minimum",
             served: 0,
             failed: 2,
             elsewhere: none,
             failing: false,
         },
         Case {
-            name: "serves nobody",
+            name: "no request served",
             served: 0,
             failed: 3,
             elsewhere: none,
             failing: true,
         },
         Case {
-            name: "fails two of five",
+            name: "two in five requests fail",
             served: 12,
             failed: 8,
             elsewhere: none,
             failing: true,
         },
         Case {
-            name: "sheds a tenth",
+            name: "a tenth of the requests shed",
             served: 27,
             failed: 3,
             elsewhere: none,
             failing: false,
         },
         Case {
-            name: "the zone has seen enough, this host alone has not",
+            name: "enough failures in the zone, too few through this host",
             served: 0,
             failed: 1,
-            elsewhere: AnswerCounts {
+            elsewhere: OutcomeCounts {
                 served: 1,
                 failed: 4,
             },
             failing: true,
         },
         Case {
-            name: "it serves the others of the zone",
+            name: "requests through other hosts of the zone are served",
             served: 0,
             failed: 3,
-            elsewhere: AnswerCounts {
+            elsewhere: OutcomeCounts {
                 served: 30,
                 failed: 0,
             },
@@ -77,14 +77,14 @@
     ];
     for case in cases {
         let now = Instant::now();
-        let mut record = AnswerRecord::default();
+        let mut record = OutlierDetector::default();
         (0..case.served).for_each(|_request| record.served(now));
-        (0..case.failed).for_each(|_request| record.erred(now));
-        record.add_elsewhere(case.elsewhere);
+        (0..case.failed).for_each(|_request| record.returned_error(now));
+        record.add_peer_counts(case.elsewhere);
         assert_eq!(
             record.evaluate(&OutlierConfig::default(), now),
             case.failing,
-            "{}: changes",
+            "{}: state change",
             case.name
         );
         assert_eq!(record.is_failing(), case.failing, "{}", case.name);
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn test_upstream_that_stopped_answering_is_judged_by_what_came_after() {
-    // Guards against earlier successes that hide an upstream that hangs now.
+fn test_requests_served_before_a_timeout_do_not_count() {
+    // Guards against earlier successes that hide an upstream that no longer responds.
     struct Case {
         name: &'static str,
         served_at: u64,
@@ -101,12 +101,12 @@
     }
     let cases = [
         Case {
-            name: "nothing was served after the requests were sent",
+            name: "no request served since the others were sent",
             served_at: 90,
             failing: true,
         },
         Case {
-            name: "others are served meanwhile",
+            name: "other requests served since then",
             served_at: 300,
             failing: false,
         },
@@ -114,39 +114,39 @@
     for case in cases {
         let start = Instant::now();
         let at = |millis| start + Duration::from_millis(millis);
-        let mut record = AnswerRecord::default();
+        let mut record = OutlierDetector::default();
         (0..60).for_each(|_request| record.served(at(case.served_at)));
-        (0..3).for_each(|_request| record.unanswered(at(600), at(100)));
+        (0..3).for_each(|_request| record.timed_out(at(600), at(100)));
         record.evaluate(&OutlierConfig::default(), at(600));
         assert_eq!(record.is_failing(), case.failing, "{}", case.name);
     }
 }
 
 #[test]
-fn test_failing_ends_with_answers_or_in_time() {
-    // Guards against an upstream without flows that stays ejected for good.
+fn test_ejection_ends_with_served_requests_or_after_its_time() {
+    // Guards against an upstream without flows that stays ejected forever.
     struct Case {
         name: &'static str,
         served_after: Option<u64>,
-        back_after: u64,
+        latest_return: u64,
     }
     let cases = [
         Case {
-            name: "a flow is answered once the failed ones are past",
+            name: "a request is served after the window of the failures",
             served_after: Some(2100),
-            back_after: 2100,
+            latest_return: 2100,
         },
         Case {
-            name: "nobody asks it",
+            name: "no requests",
             served_after: None,
-            back_after: 7000,
+            latest_return: 7000,
         },
     ];
     for case in cases {
         let start = Instant::now();
-        let mut record = AnswerRecord::default();
-        (0..4).for_each(|_request| record.erred(start));
-        let mut back = None;
+        let mut record = OutlierDetector::default();
+        (0..4).for_each(|_request| record.returned_error(start));
+        let mut returned_at = None;
         for millis in (0..10_000).step_by(100) {
             let now = start + Duration::from_millis(millis);
             if case.served_after == Some(millis) {
@@ -154,69 +154,69 @@
             }
             record.evaluate(&OutlierConfig::default(), now);
             if !record.is_failing() {
-                back = back.or(Some(millis));
+                returned_at = returned_at.or(Some(millis));
             }
         }
-        let back = back.expect(case.name);
-        let early = case.served_after.unwrap_or(5000);
+        let returned_at = returned_at.expect(case.name);
+        let earliest = case.served_after.unwrap_or(5000);
         assert!(
-            (early..=case.back_after).contains(&back),
-            "{}: {back}",
+            (earliest..=case.latest_return).contains(&returned_at),
+            "{}: {returned_at}",
             case.name
         );
     }
 }
 
 #[test]
-fn test_short_answers_are_told_by_their_route() {
+fn test_short_responses_are_detected_by_the_usual_size() {
     struct Case {
         name: &'static str,
-        usual: &'static [u16],
-        answer: u16,
+        usual_sizes: &'static [u16],
+        last_size: u16,
         short: bool,
     }
     let cases = [
         Case {
-            name: "an error page among lists",
-            usual: &[1200, 2400, 3600, 700],
-            answer: 160,
+            name: "an error page among longer responses",
+            usual_sizes: &[1200, 2400, 3600, 700],
+            last_size: 160,
             short: true,
         },
         Case {
-            name: "a receipt among receipts",
-            usual: &[700, 800, 500, 900],
-            answer: 300,
+            name: "shorter than usual, but not enough",
+            usual_sizes: &[700, 800, 500, 900],
+            last_size: 300,
             short: false,
         },
         Case {
-            name: "short answers are usual here",
-            usual: &[150, 160],
-            answer: 150,
+            name: "short responses are usual",
+            usual_sizes: &[150, 160],
+            last_size: 150,
             short: false,
         },
         Case {
-            name: "longer than can be told",
-            usual: &[u16::MAX],
-            answer: u16::MAX,
+            name: "size at the upper bound",
+            usual_sizes: &[u16::MAX],
+            last_size: u16::MAX,
             short: false,
         },
     ];
     for case in cases {
-        let mut size = AnswerSize::default();
+        let mut mean = ResponseSizeMean::default();
         assert!(
-            !size.learn(&OutlierConfig::default(), case.answer),
-            "{}: nothing to compare",
+            !mean.learn(&OutlierConfig::default(), case.last_size),
+            "{}: no earlier responses",
             case.name
         );
-        for bytes in case.usual.iter().cycle().take(200) {
+        for bytes in case.usual_sizes.iter().cycle().take(200) {
             assert!(
-                !size.learn(&OutlierConfig::default(), *bytes),
+                !mean.learn(&OutlierConfig::default(), *bytes),
                 "{}: {bytes}",
                 case.name
             );
         }
         assert_eq!(
-            size.learn(&OutlierConfig::default(), case.answer),
+            mean.learn(&OutlierConfig::default(), case.last_size),
             case.short,
             "{}",
             case.name
--- a/packet/tests/test_peer_table.rs
+++ b/packet/tests/test_peer_table.rs
@@ -282,8 +282,8 @@
     let upstreams = rig.core.upstreams();
     let index = upstreams.by_tag(tag(1)).expect("known");
     let record = upstreams.get(index);
-    assert_eq!(record.flows_elsewhere, 30);
-    assert_eq!(record.silence.last_response(), Some(heard_at));
+    assert_eq!(record.peer_flows, 30);
+    assert_eq!(record.failure_detector.last_response(), Some(heard_at));
 }
 
 #[test]
@@ -308,7 +308,7 @@
         .core
         .upstreams()
         .records()
-        .map(|record| record.flows_elsewhere)
+        .map(|record| record.peer_flows)
         .sum();
     assert_eq!(elsewhere, 0, "the reporting host is down");
 }
--- a/packet/tests/test_restored_fleet.rs
+++ b/packet/tests/test_restored_fleet.rs
@@ -1,4 +1,5 @@
-//! Tests of fleets whose store comes back from a copy: who lists it, and that every host follows.
+//! Tests of fleets whose store is restored from a backup: how many hosts list it, and that every
+//! host applies its state.
 
 use std::time::Duration;
 
@@ -7,16 +8,16 @@
 
 use crate::core_rig::*;
 use crate::fleet_rig::*;
+use crate::fleet_store::StoreBackup;
 use crate::fleet_store::StoreCall;
-use crate::fleet_store::StoreCopy;
 
-/// Time in which a change has to be in force.
+/// Maximum time until every host applies a change.
 const IN_FORCE_MILLIS: u64 = 3000;
 
-/// Time after which the platform counts a store that came back as stable.
-const STABLE_MILLIS: u64 = 4000;
+/// Time after which the platform considers a restored store stable.
+const STORE_STABLE_MILLIS: u64 = 4000;
 
-/// The one upstream, draining.
+/// Returns the registration of upstream 1, draining.
 fn draining_entry() -> UpstreamEntry {
     UpstreamEntry {
         state: EntryState::Draining,
@@ -24,12 +25,12 @@
     }
 }
 
-/// A fleet that has been running for some seconds.
-fn settled_fleet(zones: u8, hosts_a_zone: u8, seed: u64) -> FleetRig {
+/// Returns a fleet that has run for 8 s.
+fn settled_fleet(zones: u8, hosts_per_zone: u8, seed: u64) -> FleetRig {
     let mut rig = FleetRig::new(&FleetPlan {
         zones,
-        hosts_a_zone,
-        large_a_zone: 1,
+        hosts_per_zone,
+        large_hosts_per_zone: 1,
         seed,
     });
     rig.start_all();
@@ -38,56 +39,57 @@
 }
 
 #[test]
-fn test_changes_are_applied_after_the_store_came_back_from_a_copy() {
-    // Guards against hosts that reject the state of a restored store as older, and miss what was given a revision again.
+fn test_changes_are_applied_after_a_restore() {
+    // Guards against hosts that reject the state of a restored store as older, and against hosts
+    // that miss changes with a reused revision.
     struct Case {
         name: &'static str,
-        /// Changes that the copy lacks.
+        /// Number of changes that the backup lacks.
         lost: u64,
         zones: u8,
-        hosts_a_zone: u8,
+        hosts_per_zone: u8,
     }
     let cases = [
         Case {
-            name: "the counter does not reach the old one",
+            name: "new revisions stay below the old one",
             lost: 9,
             zones: 3,
-            hosts_a_zone: 3,
+            hosts_per_zone: 3,
         },
         Case {
-            name: "the counter reaches the old one with the drain",
+            name: "the drain gets the old revision",
             lost: 2,
             zones: 3,
-            hosts_a_zone: 3,
+            hosts_per_zone: 3,
         },
         Case {
-            name: "the counter passes the old one",
+            name: "new revisions pass the old one",
             lost: 1,
             zones: 3,
-            hosts_a_zone: 3,
+            hosts_per_zone: 3,
         },
         Case {
-            name: "nothing was lost",
+            name: "no change lost",
             lost: 0,
             zones: 3,
-            hosts_a_zone: 3,
+            hosts_per_zone: 3,
         },
         Case {
             name: "three hundred hosts",
             lost: 2,
             zones: 5,
-            hosts_a_zone: 60,
+            hosts_per_zone: 60,
         },
     ];
     for case in cases {
-        let mut rig = settled_fleet(case.zones, case.hosts_a_zone, 1);
-        let copy = rig.copy_store();
+        let mut rig = settled_fleet(case.zones, case.hosts_per_zone, 1);
+        let backup = rig.back_up_store();
         for _change in 0..case.lost {
             rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
         }
         rig.pass(2000);
-        rig.restore_store(&copy);
-        rig.pass(STABLE_MILLIS);
+        rig.restore_store(&backup);
+        rig.pass(STORE_STABLE_MILLIS);
         rig.publish(|revision| routes_item(revision, default_routes(2)));
         rig.publish(|revision| upstream_item(revision, draining_entry()));
         rig.pass(IN_FORCE_MILLIS);
@@ -98,63 +100,64 @@
             .collect();
         let behind = versions.iter().filter(|version| **version != 2);
         assert_eq!(behind.count(), 0, "{}: {versions:?}", case.name);
-        let placing = (0..rig.hosts.len()).filter(|place| rig.places_flows(*place));
+        let still_placing = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
         assert_eq!(
-            placing.count(),
+            still_placing.count(),
             0,
-            "{}: hosts that miss the drain",
+            "{}: hosts that still place flows",
             case.name
         );
     }
 }
 
 #[test]
-fn test_fleet_does_not_list_a_store_that_came_back() {
-    // Guards against listings and watches without a pause, and against a listing by every host.
-    for hosts_a_zone in [3, 60] {
-        let mut rig = settled_fleet(5, hosts_a_zone, 2);
-        let copy = rig.copy_store();
+fn test_few_hosts_list_a_restored_store() {
+    // Guards against listings and watches in immediate succession, and against a listing by every
+    // host.
+    for hosts_per_zone in [3, 60] {
+        let mut rig = settled_fleet(5, hosts_per_zone, 2);
+        let backup = rig.back_up_store();
         rig.pass_with_changes(2000, 500);
         let before = rig.now;
-        rig.restore_store(&copy);
-        rig.pass(STABLE_MILLIS);
+        rig.restore_store(&backup);
+        rig.pass(STORE_STABLE_MILLIS);
         let lists = rig.calls_since(before, StoreCall::List);
         let watches = rig.calls_since(before, StoreCall::Watch);
         assert!(
             (1..=10).contains(&lists),
-            "{hosts_a_zone}: {lists} lists of five zones"
+            "{hosts_per_zone}: {lists} lists of five zones"
         );
         assert!(
             watches <= 30,
-            "{hosts_a_zone}: {watches} watches of five zones"
+            "{hosts_per_zone}: {watches} watches of five zones"
         );
     }
 }
 
 #[test]
-fn test_few_hosts_list_a_store_that_came_back_after_an_outage() {
-    // Guards against a listing by each host of a fleet in which all tried to read while the store was away.
+fn test_few_hosts_list_a_store_restored_after_an_outage() {
+    // Guards against a listing by every host after an outage in which all of them tried to read.
     let zones = 5;
     let mut rig = settled_fleet(zones, 60, 2);
-    let copy = rig.copy_store();
+    let backup = rig.back_up_store();
     rig.pass_with_changes(2000, 500);
     for host in &mut rig.hosts {
         host.served = false;
     }
     rig.cut_watches();
     rig.pass(3000);
-    rig.restore_store(&copy);
+    rig.restore_store(&backup);
     for host in &mut rig.hosts {
         host.served = true;
     }
     let before = rig.now;
-    rig.pass(STABLE_MILLIS);
+    rig.pass(STORE_STABLE_MILLIS);
     let position = rig.position();
     let behind = rig
         .hosts
         .iter()
         .filter(|host| host.core.view().through() != position);
-    assert_eq!(behind.count(), 0, "hosts in the earlier era");
+    assert_eq!(behind.count(), 0, "hosts that stay in the earlier era");
     let lists = rig.calls_since(before, StoreCall::List);
     assert!(
         lists <= usize::from(zones) * 9,
@@ -163,32 +166,37 @@
 }
 
 #[test]
-fn test_hosts_in_two_eras_agree_once_they_hear_each_other() {
-    // Guards against a partitioned zone that keeps the state of an earlier era because its revision is larger.
+fn test_hosts_of_two_eras_converge_once_connected() {
+    // Guards against a partitioned zone that keeps the state of an earlier era because its revision
+    // is larger.
     let mut rig = settled_fleet(3, 4, 3);
-    let copy = rig.copy_store();
+    let backup = rig.back_up_store();
     for _change in 0..20 {
         rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
     }
     rig.pass(1000);
-    let cut: Vec<HostPlace> = (8..12).collect();
-    rig.part(cut.clone());
-    for place in &cut {
-        rig.hosts[*place].served = false;
+    let isolated: Vec<HostIndex> = (8..12).collect();
+    rig.isolate(isolated.clone());
+    for index in &isolated {
+        rig.hosts[*index].served = false;
     }
-    rig.restore_store(&copy);
+    rig.restore_store(&backup);
     rig.publish(|revision| upstream_item(revision, draining_entry()));
     rig.pass(10_000);
-    let placing = (0..rig.hosts.len()).filter(|place| rig.places_flows(*place));
+    let still_placing = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
     assert_eq!(
-        placing.collect::<Vec<_>>(),
-        cut,
-        "the zone serves what it can"
+        still_placing.collect::<Vec<_>>(),
+        isolated,
+        "the partitioned zone continues with the state that it has"
     );
-    rig.part([]);
+    rig.isolate([]);
     rig.pass(IN_FORCE_MILLIS);
-    let placing = (0..rig.hosts.len()).filter(|place| rig.places_flows(*place));
-    assert_eq!(placing.count(), 0, "hosts that stay in the earlier era");
+    let still_placing = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
+    assert_eq!(
+        still_placing.count(),
+        0,
+        "hosts that stay in the earlier era"
+    );
     let position = rig.position();
     let behind = rig
         .hosts
@@ -198,57 +206,62 @@
 }
 
 #[test]
-fn test_configuration_that_the_store_lost_reaches_hosts_that_list_the_store() {
-    // Guards against hosts at one position with different configurations.
+fn test_lost_configuration_reaches_hosts_that_list_the_store() {
+    // Guards against hosts at the same position with different configurations: those that were
+    // running keep the newer one, which the backup lacks.
     let mut rig = settled_fleet(3, 3, 4);
-    let copy = rig.copy_store();
+    let backup = rig.back_up_store();
     rig.publish(|revision| routes_item(revision, default_routes(9)));
     rig.pass(1000);
-    let fresh = 8;
-    rig.kill(fresh);
-    rig.restore_store(&copy);
-    rig.part([fresh]);
-    rig.start(fresh, Duration::ZERO);
-    rig.pass(STABLE_MILLIS);
-    let version = |rig: &FleetRig, place: HostPlace| {
-        let routes = rig.hosts[place].core.view().routes();
+    let restarted = 8;
+    rig.kill(restarted);
+    rig.restore_store(&backup);
+    rig.isolate([restarted]);
+    rig.start(restarted, Duration::ZERO);
+    rig.pass(STORE_STABLE_MILLIS);
+    let version = |rig: &FleetRig, index: HostIndex| {
+        let routes = rig.hosts[index].core.view().routes();
         routes.map(|routes| routes.version)
     };
-    assert_eq!(version(&rig, fresh), Some(1), "it has read the copy");
-    rig.part([]);
+    assert_eq!(
+        version(&rig, restarted),
+        Some(1),
+        "it has read the restored store"
+    );
+    rig.isolate([]);
     rig.pass(IN_FORCE_MILLIS);
-    for place in 0..rig.hosts.len() {
-        assert_eq!(version(&rig, place), Some(9), "host {place}");
+    for index in 0..rig.hosts.len() {
+        assert_eq!(version(&rig, index), Some(9), "host {index}");
     }
 }
 
 #[test]
-fn test_fleet_follows_a_store_that_comes_back_in_bad_moments() {
-    // Guards against hosts that stay in an earlier era when the store comes back twice, while hosts restart, or while readers
-    // are replaced.
+fn test_fleet_follows_a_restore_during_failures() {
+    // Guards against hosts that stay in an earlier era when the store is restored twice, while
+    // hosts restart, or while readers are replaced.
     struct Case {
         name: &'static str,
-        disturb: fn(&mut FleetRig, &StoreCopy),
+        disturb: fn(&mut FleetRig, &StoreBackup),
     }
     let cases = [
         Case {
             name: "twice within a second",
-            disturb: |rig, copy| {
-                rig.restore_store(copy);
+            disturb: |rig, backup| {
+                rig.restore_store(backup);
                 rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
                 rig.pass(700);
-                rig.restore_store(copy);
+                rig.restore_store(backup);
             },
         },
         Case {
             name: "after an outage",
-            disturb: |rig, copy| {
+            disturb: |rig, backup| {
                 for host in &mut rig.hosts {
                     host.served = false;
                 }
                 rig.cut_watches();
                 rig.pass(2500);
-                rig.restore_store(copy);
+                rig.restore_store(backup);
                 for host in &mut rig.hosts {
                     host.served = true;
                 }
@@ -256,55 +269,55 @@
         },
         Case {
             name: "while half of the hosts restart",
-            disturb: |rig, copy| {
-                for place in (0..rig.hosts.len()).step_by(2) {
-                    rig.kill(place);
-                    rig.start(place, Duration::from_millis(300));
+            disturb: |rig, backup| {
+                for index in (0..rig.hosts.len()).step_by(2) {
+                    rig.kill(index);
+                    rig.start(index, Duration::from_millis(300));
                 }
                 rig.pass(310);
-                rig.restore_store(copy);
+                rig.restore_store(backup);
             },
         },
         Case {
-            name: "when all hosts have just started",
-            disturb: |rig, copy| {
-                for place in 0..rig.hosts.len() {
-                    rig.kill(place);
-                    rig.start(place, Duration::from_millis(100));
+            name: "just after all hosts have restarted",
+            disturb: |rig, backup| {
+                for index in 0..rig.hosts.len() {
+                    rig.kill(index);
+                    rig.start(index, Duration::from_millis(100));
                 }
                 rig.pass(140);
-                rig.restore_store(copy);
+                rig.restore_store(backup);
             },
         },
         Case {
-            name: "with every reader killed",
-            disturb: |rig, copy| {
+            name: "while every reader is killed",
+            disturb: |rig, backup| {
                 for zone in rig.zones() {
                     for reader in rig.readers(&zone) {
                         rig.kill(reader);
                         rig.start(reader, Duration::from_secs(2));
                     }
                 }
-                rig.restore_store(copy);
+                rig.restore_store(backup);
             },
         },
         Case {
-            name: "with a third of the hosts refused",
-            disturb: |rig, copy| {
-                for place in (0..rig.hosts.len()).step_by(3) {
-                    rig.hosts[place].served = false;
+            name: "while the store rejects a third of the hosts",
+            disturb: |rig, backup| {
+                for index in (0..rig.hosts.len()).step_by(3) {
+                    rig.hosts[index].served = false;
                 }
-                rig.restore_store(copy);
+                rig.restore_store(backup);
             },
         },
     ];
     for case in cases {
         for seed in 1..=3 {
             let mut rig = settled_fleet(3, 12, seed);
-            let copy = rig.copy_store();
+            let backup = rig.back_up_store();
             rig.pass_with_changes(2000, 250);
-            (case.disturb)(&mut rig, &copy);
-            rig.pass(STABLE_MILLIS);
+            (case.disturb)(&mut rig, &backup);
+            rig.pass(STORE_STABLE_MILLIS);
             rig.publish(|revision| routes_item(revision, default_routes(2)));
             rig.publish(|revision| upstream_item(revision, draining_entry()));
             rig.pass(IN_FORCE_MILLIS);
@@ -314,8 +327,8 @@
                 .iter()
                 .filter(|host| host.core.view().through() != position);
             assert_eq!(behind.count(), 0, "{}, seed {seed}", case.name);
-            let placing = (0..rig.hosts.len()).filter(|place| rig.places_flows(*place));
-            assert_eq!(placing.count(), 0, "{}, seed {seed}", case.name);
+            let still_placing = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
+            assert_eq!(still_placing.count(), 0, "{}, seed {seed}", case.name);
         }
     }
 }
--- a/packet/tests/test_route_table.rs
+++ b/packet/tests/test_route_table.rs
@@ -1,4 +1,4 @@
-//! Tests of the ranks of request classes, and of what hosts tell of their routes.
+//! Tests of the ranks of priority classes, and of how routes appear in events and in the status.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -17,7 +17,7 @@
 use lagoonproxy_packet::routes::route_config::RequestPriority;
 use lagoonproxy_packet::routes::route_config::RouteConfig;
 use lagoonproxy_packet::routes::route_config::ServiceShare;
-use lagoonproxy_packet::routes::route_table::MOST_CLASSES;
+use lagoonproxy_packet::routes::route_table::MAX_CLASSES;
 use lagoonproxy_packet::routes::route_table::RouteTable;
 use lagoonproxy_packet::upstreams::upstream_table::UpstreamTable;
 
@@ -32,13 +32,15 @@
 /// A route: its priority, and its services with their weights.
 type RouteCase = (Option<u32>, &'static [(&'static str, u32)]);
 
-/// The rank and the number of classes; `None` if the route does not lead to the service.
+/// Rank and number of classes; `None` if the route does not lead to the service.
 type ClassCase = Option<(u8, u8)>;
 
+/// Returns the address of the route with this index.
 fn address(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 8000 + index as u16)
 }
 
+/// Returns a configuration with these routes.
 fn config(cases: &[RouteCase]) -> RouteConfig {
     let addresses: Vec<_> = (0..cases.len()).map(|index| (address(index), "")).collect();
     let mut config = routes(1, &addresses);
@@ -53,6 +55,7 @@
     config
 }
 
+/// Creates a table without upstreams.
 fn upstream_table() -> UpstreamTable {
     UpstreamTable::new(
         ZONE.into(),
@@ -61,7 +64,8 @@
     )
 }
 
-/// The rank and the number of classes of a route at a service; `None` if it does not lead there.
+/// Returns the rank and the number of classes of a route at a service; `None` if the route does not
+/// lead to the service.
 fn class_of(
     table: &RouteTable,
     upstreams: &mut UpstreamTable,
@@ -78,7 +82,7 @@
     struct Case {
         name: &'static str,
         routes: &'static [RouteCase],
-        /// The route, the service, and the class there.
+        /// Index of the route, name of the service, and class of the route at the service.
         classes: &'static [(usize, &'static str, ClassCase)],
     }
     let cases = [
@@ -88,7 +92,7 @@
             classes: &[(0, "s", Some((1, 2))), (1, "s", Some((0, 2)))],
         },
         Case {
-            name: "one priority, however urgent",
+            name: "all routes of the same priority",
             routes: &[(Some(5), &[("s", 1)]), (Some(5), &[("s", 1)])],
             classes: &[(0, "s", Some((0, 1))), (1, "s", Some((0, 1)))],
         },
@@ -98,12 +102,12 @@
             classes: &[(0, "s", Some((0, 1)))],
         },
         Case {
-            name: "no priority is less urgent than any",
+            name: "no priority ranks after any priority",
             routes: &[(None, &[("s", 1)]), (Some(9), &[("s", 1)])],
             classes: &[(0, "s", Some((1, 2))), (1, "s", Some((0, 2)))],
         },
         Case {
-            name: "five priorities share the last rank",
+            name: "the least urgent of five priorities share the last rank",
             routes: &[
                 (Some(0), &[("s", 1)]),
                 (Some(1), &[("s", 1)]),
@@ -120,12 +124,12 @@
             ],
         },
         Case {
-            name: "an idle route has a rank, used or not",
+            name: "an unused route takes a rank",
             routes: &[(Some(3), &[("s", 1)]), (Some(0), &[("s", 1)])],
             classes: &[(0, "s", Some((1, 2)))],
         },
         Case {
-            name: "a split route has another rank at each service",
+            name: "a route with two services has a rank at each",
             routes: &[
                 (Some(1), &[("s", 90), ("t", 10)]),
                 (Some(0), &[("s", 1)]),
@@ -139,7 +143,7 @@
             ],
         },
         Case {
-            name: "a share without weight gets no requests, and is no class",
+            name: "a share without weight adds no class",
             routes: &[(Some(0), &[("s", 0), ("t", 1)]), (Some(1), &[("s", 1)])],
             classes: &[
                 (0, "s", None),
@@ -155,14 +159,14 @@
             let class = class_of(&table, &mut upstreams, *index, service);
             assert_eq!(class, *expected, "{}: {index} at {service}", case.name);
             let ranks = class.map_or(0, |(rank, _classes)| usize::from(rank));
-            assert!(ranks < MOST_CLASSES, "{}", case.name);
+            assert!(ranks < MAX_CLASSES, "{}", case.name);
         }
     }
 }
 
 #[test]
-fn test_another_configuration_changes_ranks() {
-    // Guards against ranks of an earlier configuration that stay in force.
+fn test_new_configuration_changes_ranks() {
+    // Guards against ranks that are kept from the previous configuration.
     let mut upstreams = upstream_table();
     let before: &[RouteCase] = &[(Some(0), &[("s", 1)]), (Some(1), &[("s", 1)])];
     let after: &[RouteCase] = &[(Some(4), &[("s", 1)]), (Some(1), &[("s", 1)])];
@@ -173,6 +177,7 @@
     assert_eq!(class_of(&table, &mut upstreams, 1, "s"), Some((0, 2)));
 }
 
+/// Returns the fault of an invalid priority.
 fn field_fault() -> FieldFault {
     FieldFault {
         field: "Priority".into(),
@@ -184,8 +189,9 @@
 }
 
 #[test]
-fn test_invalid_fields_are_told_once_per_configuration() {
-    // Guards against a fault that nobody hears of, and against one that fills the log at each list.
+fn test_invalid_fields_are_reported_once_per_configuration() {
+    // Guards against a fault that is not reported, and against one that is reported again with each
+    // list of the store.
     let faulty = |version| RouteConfig {
         field_faults: vec![field_fault()],
         ..default_routes(version)
@@ -195,16 +201,16 @@
     rig.publish(|revision| routes_item(revision, faulty(2)));
     rig.publish(|revision| routes_item(revision, faulty(3)));
     rig.publish(|revision| routes_item(revision, default_routes(4)));
-    let told = rig.events.iter().filter_map(|event| match event {
+    let reported = rig.events.iter().filter_map(|event| match event {
         DecisionEvent::RouteFieldIgnored { version, fault } => Some((*version, fault.clone())),
         _ => None,
     });
-    let told: Vec<(u64, FieldFault)> = told.collect();
-    assert_eq!(told, [(2, field_fault()), (3, field_fault())]);
+    let reported: Vec<(u64, FieldFault)> = reported.collect();
+    assert_eq!(reported, [(2, field_fault()), (3, field_fault())]);
 }
 
 #[test]
-fn test_status_shows_routes_as_they_are_held() {
+fn test_status_contains_the_routes_in_force() {
     let mut config = config(&[(Some(2), &[("s", 90), ("t", 10)]), (None, &[("t", 1)])]);
     config.routes[0].kind = RequestKind::Idempotent;
     config.routes[0].timeout = Some(Duration::from_secs(2));
@@ -233,9 +239,9 @@
 }
 
 #[test]
-fn test_status_has_the_services_that_have_routes() {
-    // Guards against labels of metrics that grow with services that nobody routes to, and against classes
-    // that differ from those that decisions use.
+fn test_status_contains_only_services_with_routes() {
+    // Guards against metric labels of services without routes, and against classes that differ from
+    // those used for admission.
     let mut config = config(&[
         (Some(4), &[("t", 1), ("unused", 0)]),
         (Some(1), &[("s", 90), ("t", 10)]),
--- a/packet/tests/test_warmup_admission.rs
+++ b/packet/tests/test_warmup_admission.rs
@@ -178,7 +178,7 @@
     // Guards against hosts that each send an acceptable number of flows to the same cold upstream.
     struct Case {
         name: &'static str,
-        hosts_a_zone: u8,
+        hosts_per_zone: u8,
         /// Rate in thousandths per second, and the flows that a window may contain with the usual
         /// tolerance.
         rate: u64,
@@ -199,7 +199,7 @@
     let cases = [
         Case {
             name: "upstreams are added",
-            hosts_a_zone: 100,
+            hosts_per_zone: 100,
             rate: 1000,
             bound: 6,
             begin: |rig| {
@@ -211,7 +211,7 @@
         },
         Case {
             name: "a zone comes back cold",
-            hosts_a_zone: 30,
+            hosts_per_zone: 30,
             rate: 1000,
             bound: 6,
             begin: |rig| {
@@ -225,7 +225,7 @@
         },
         Case {
             name: "all upstreams restart",
-            hosts_a_zone: 30,
+            hosts_per_zone: 30,
             rate: 10_000,
             bound: 20,
             begin: restart_all,
@@ -234,7 +234,7 @@
         },
         Case {
             name: "all upstreams and all hosts restart",
-            hosts_a_zone: 30,
+            hosts_per_zone: 30,
             rate: 1000,
             bound: 6,
             begin: |rig| {
@@ -251,7 +251,7 @@
         },
         Case {
             name: "a third of the hosts restarts while upstreams do",
-            hosts_a_zone: 30,
+            hosts_per_zone: 30,
             rate: 1000,
             bound: 6,
             begin: |rig| {
@@ -267,11 +267,11 @@
         },
         Case {
             name: "a third of the hosts is partitioned from the others",
-            hosts_a_zone: 30,
+            hosts_per_zone: 30,
             rate: 1000,
             bound: 6,
             begin: |rig| {
-                rig.part((0..rig.hosts.len()).step_by(3));
+                rig.isolate((0..rig.hosts.len()).step_by(3));
                 rig.pass(6000);
                 publish_upstreams(rig, 31..=60, WARMUP);
                 rig.now
@@ -283,8 +283,8 @@
     for case in cases {
         let mut rig = FleetRig::new(&FleetPlan {
             zones: 3,
-            hosts_a_zone: case.hosts_a_zone,
-            large_a_zone: 2,
+            hosts_per_zone: case.hosts_per_zone,
+            large_hosts_per_zone: 2,
             seed: 21,
         });
         rig.warmup_tolerance = Some(WarmupTolerance {
--- a/packet/tests/test_zone_evacuation.rs
+++ b/packet/tests/test_zone_evacuation.rs
@@ -1,4 +1,4 @@
-//! Tests of evacuated availability zones.
+//! Tests of the evacuation of availability zones, in one core and in a simulated fleet.
 
 use std::time::Duration;
 
@@ -14,14 +14,15 @@
 use crate::fleet_rig::*;
 use crate::test_peer_table::query;
 
-/// Time from a request's acknowledgement until every host applies it, with all of them in touch.
-const CALM_MILLIS: u64 = 1000;
+/// Maximum time from the publication of an evacuation until every host applies it, without
+/// failures.
+const HEALTHY_BOUND_MILLIS: u64 = 1000;
 
-/// The same while the zone's watcher of the store is replaced.
-const REPLACED_MILLIS: u64 = 3000;
+/// Maximum time while the reader of a zone is replaced.
+const READER_BOUND_MILLIS: u64 = 3000;
 
-/// The bound of the service for every other failure.
-const BOUND_MILLIS: u64 = 5000;
+/// Maximum time during any other failure.
+const FAILURE_BOUND_MILLIS: u64 = 5000;
 
 fn entry_in(number: u8, zone: &str) -> UpstreamEntry {
     UpstreamEntry {
@@ -30,19 +31,20 @@
     }
 }
 
-/// Two upstreams in the host's zone "a", two each in "b" and "c".
+/// Returns a core in zone "a" with two upstreams each in zones "a", "b" and "c".
 fn three_zones() -> CoreRig {
     let entries = [(1, "a"), (2, "a"), (3, "b"), (4, "b"), (5, "c"), (6, "c")];
     let entries = entries.map(|(number, zone)| entry_in(number, zone));
     CoreRig::with_entries(entries.to_vec())
 }
 
-/// Opens many flows with all copies of their SYNs; every upstream that got any of them, in order.
+/// Opens 60 flows, with two retransmissions of each SYN. Returns the upstreams that got any of
+/// them, in ascending order.
 fn used_upstreams(rig: &mut CoreRig) -> Vec<u8> {
     let mut used = Vec::new();
     for flow in 1000..1060 {
-        for copy in 0..3 {
-            used.extend(rig.open(flow, copy));
+        for transmission in 0..3 {
+            used.extend(rig.open(flow, transmission));
             rig.pass(200);
         }
     }
@@ -63,13 +65,13 @@
     let nothing = |_rig: &mut CoreRig| {};
     let cases = [
         Case {
-            name: "the own zone",
+            name: "own zone",
             evacuated: &["a"],
             prepare: nothing,
             allowed: &[3, 4, 5, 6],
         },
         Case {
-            name: "another zone, the own one gone",
+            name: "other zone, own zone without upstreams",
             evacuated: &["b"],
             prepare: |rig| {
                 rig.publish(|revision| removed_item(revision, 1));
@@ -78,7 +80,7 @@
             allowed: &[5, 6],
         },
         Case {
-            name: "two zones, the third saturated",
+            name: "two zones, third zone saturated",
             evacuated: &["a", "b"],
             prepare: |rig| {
                 for flow in 0..40 {
@@ -89,7 +91,7 @@
             allowed: &[5, 6],
         },
         Case {
-            name: "two zones, nobody of the third answers",
+            name: "two zones, no upstream of the third responds",
             evacuated: &["a", "b"],
             prepare: |rig| {
                 for flow in 0..20 {
@@ -103,7 +105,7 @@
             allowed: &[5, 6],
         },
         Case {
-            name: "an upstream that registers there later",
+            name: "upstream registers there later",
             evacuated: &["a"],
             prepare: |rig| {
                 rig.publish(|revision| upstream_item(revision, entry_in(7, "a")));
@@ -112,13 +114,13 @@
             allowed: &[3, 4, 5, 6],
         },
         Case {
-            name: "an upstream that moves there",
+            name: "upstream moves there",
             evacuated: &["a"],
             prepare: |rig| rig.publish(|revision| upstream_item(revision, entry_in(3, "a"))),
             allowed: &[4, 5, 6],
         },
         Case {
-            name: "the store cannot be read since",
+            name: "store unreachable since the evacuation",
             evacuated: &["a"],
             prepare: |rig| {
                 rig.store_unreachable = true;
@@ -134,46 +136,54 @@
         }
         (case.prepare)(&mut rig);
         let used = used_upstreams(&mut rig);
-        assert!(!used.is_empty(), "{}: nobody is used", case.name);
-        let strays = used.iter().filter(|number| !case.allowed.contains(number));
-        let strays: Vec<_> = strays.collect();
-        assert!(strays.is_empty(), "{}: flows went to {strays:?}", case.name);
+        assert!(!used.is_empty(), "{}: no upstream is used", case.name);
+        let unexpected = used.iter().filter(|number| !case.allowed.contains(number));
+        let unexpected: Vec<_> = unexpected.collect();
+        assert!(
+            unexpected.is_empty(),
+            "{}: flows went to {unexpected:?}",
+            case.name
+        );
     }
 }
 
 #[test]
 fn test_open_flows_stay_in_evacuated_zone() {
-    // Guards against an evacuation that ends sessions in progress.
+    // Guards against an evacuation that ends established flows.
     let mut rig = three_zones();
     let upstream = rig.establish(1);
-    let placed = rig.open(2, 0);
+    let first_upstreams = rig.open(2, 0);
     rig.publish(|revision| evacuation_item(revision, ZONE));
     assert_eq!(forwarded(&rig.request(1, upstream, 0)), [upstream]);
-    let opened = established_head(2, placed[0], 0, 1, 0);
-    assert_eq!(forwarded(&rig.packet(&opened)), [placed[0]]);
+    let opened = established_head(2, first_upstreams[0], 0, 1, 0);
+    assert_eq!(forwarded(&rig.packet(&opened)), [first_upstreams[0]]);
     for turn in 1..20 {
         rig.pass(1000);
-        let carried = forwarded(&rig.request(1, upstream, turn));
+        let upstreams = forwarded(&rig.request(1, upstream, turn));
         rig.acknowledge(1, upstream, turn);
-        assert_eq!(carried, [upstream], "turn {turn}");
+        assert_eq!(upstreams, [upstream], "turn {turn}");
     }
     assert!(rig.resets.is_empty(), "{:?}", rig.resets);
 }
 
 #[test]
-fn test_copies_of_unplaced_flow_leave_evacuated_zone() {
-    // Guards against a retransmitted SYN that follows the first copy into the zone.
+fn test_retransmitted_syn_leaves_evacuated_zone() {
+    // Guards against a retransmitted SYN that is sent to the zone that got the first SYN.
     let mut rig = three_zones();
     assert!(rig.open(1, 0)[0] <= 2);
     rig.publish(|revision| evacuation_item(revision, ZONE));
     rig.pass(200);
-    let copies = rig.open(1, 1);
-    assert!(copies.iter().all(|number| *number > 2), "{copies:?}");
+    let retransmission = rig.open(1, 1);
+    assert!(
+        retransmission.iter().all(|number| *number > 2),
+        "{retransmission:?}"
+    );
 }
 
 #[test]
 fn test_late_syn_of_an_open_flow_stays_out_of_evacuated_zone() {
-    // Guards against a SYN that was under way for long, or a caller's port that is used again.
+    // Guards against a new flow in the zone for a SYN that arrives late, or after the caller has
+    // reused its port.
     let mut rig = three_zones();
     let upstream = rig.establish(1);
     rig.publish(|revision| evacuation_item(revision, ZONE));
@@ -184,7 +194,7 @@
 
 #[test]
 fn test_refused_at_once_if_every_zone_is_evacuated() {
-    // Guards against callers that wait for their deadlines where nobody may serve them.
+    // Guards against callers that wait until their deadlines because no upstream may serve them.
     struct Case {
         name: &'static str,
         evacuated: &'static [&'static str],
@@ -199,7 +209,7 @@
             code: ResultCode::ZoneEvacuated,
         },
         Case {
-            name: "the rest drains",
+            name: "all other upstreams drain",
             evacuated: &["b"],
             entries: vec![
                 UpstreamEntry {
@@ -211,7 +221,7 @@
             code: ResultCode::ZoneEvacuated,
         },
         Case {
-            name: "only a draining one is evacuated",
+            name: "only a draining upstream is evacuated",
             evacuated: &["b"],
             entries: vec![UpstreamEntry {
                 state: EntryState::Draining,
@@ -220,7 +230,7 @@
             code: ResultCode::NoUpstream,
         },
         Case {
-            name: "a zone without upstreams",
+            name: "zone without upstreams",
             evacuated: &["nowhere"],
             entries: vec![],
             code: ResultCode::NoUpstream,
@@ -250,7 +260,7 @@
 
 #[test]
 fn test_open_flows_of_evacuated_zones_are_counted() {
-    // Guards against operators who take a zone for empty while callers still use it.
+    // Guards against a status that reports an evacuated zone as empty while flows still use it.
     let mut rig = three_zones();
     for flow in 0..4 {
         rig.establish(flow);
@@ -267,8 +277,9 @@
 }
 
 #[test]
-fn test_unknown_zones_are_reported_and_harm_nobody() {
-    // Guards against a misspelt zone that nobody notices, and against hundreds of them.
+fn test_unknown_zones_are_reported_and_ignored() {
+    // Guards against a misspelt zone name that is not reported, and against the effects of hundreds
+    // of unknown zones on placement.
     struct Case {
         name: &'static str,
         zone: &'static str,
@@ -281,12 +292,12 @@
             known: true,
         },
         Case {
-            name: "of an upstream only",
+            name: "only of an upstream",
             zone: "c",
             known: true,
         },
         Case {
-            name: "of nobody",
+            name: "unknown",
             zone: "nowhere",
             known: false,
         },
@@ -305,15 +316,15 @@
         let zone = format!("nowhere-{number}");
         rig.publish(|revision| evacuation_item(revision, &zone));
     }
-    assert!(rig.establish(1) <= 2, "the own zone is as it was");
+    assert!(rig.establish(1) <= 2, "the own zone still gets flows");
 }
 
-/// Three zones that have been running for some seconds.
-fn settled_fleet(hosts_a_zone: u8, seed: u64) -> FleetRig {
+/// Returns a fleet in three zones that has run for 8 s.
+fn settled_fleet(hosts_per_zone: u8, seed: u64) -> FleetRig {
     let mut rig = FleetRig::new(&FleetPlan {
         zones: 3,
-        hosts_a_zone,
-        large_a_zone: 2,
+        hosts_per_zone,
+        large_hosts_per_zone: 2,
         seed,
     });
     rig.start_all();
@@ -321,11 +332,11 @@
     rig
 }
 
-/// Hosts that live and do not hold the zone's evacuation as wanted.
-fn hosts_without(rig: &FleetRig, zone: &str, evacuated: bool) -> Vec<HostPlace> {
-    let hosts = (0..rig.hosts.len()).filter(|place| rig.hosts[*place].alive);
+/// Returns the running hosts on which the zone is not evacuated as expected.
+fn outdated_hosts(rig: &FleetRig, zone: &str, evacuated: bool) -> Vec<HostIndex> {
+    let hosts = (0..rig.hosts.len()).filter(|index| rig.hosts[*index].alive);
     hosts
-        .filter(|place| rig.evacuates(*place, zone) != evacuated)
+        .filter(|index| rig.evacuates(*index, zone) != evacuated)
         .collect()
 }
 
@@ -337,39 +348,39 @@
     rig.publish(|revision| restored_item(revision, zone));
 }
 
-/// Keeps the fleet busy with registrations of upstreams while time passes.
-fn pass_busy(rig: &mut FleetRig, millis: u64) {
+/// Advances time by `millis` with a change of a registration every 200 ms.
+fn pass_with_registrations(rig: &mut FleetRig, millis: u64) {
     rig.pass_with_changes(millis, 200);
 }
 
 #[test]
 fn test_evacuation_reaches_every_host_in_time() {
-    // Guards against hosts that go on sending flows into an evacuated zone.
+    // Guards against hosts that continue to place flows in an evacuated zone.
     struct Case {
         name: &'static str,
-        hosts_a_zone: u8,
+        hosts_per_zone: u8,
         fail: fn(&mut FleetRig),
         bound: u64,
     }
     let cases = [
         Case {
-            name: "calm",
-            hosts_a_zone: 100,
+            name: "no failure",
+            hosts_per_zone: 100,
             fail: |_rig| {},
-            bound: CALM_MILLIS,
+            bound: HEALTHY_BOUND_MILLIS,
         },
         Case {
-            name: "a watcher is killed",
-            hosts_a_zone: 100,
+            name: "one reader is killed",
+            hosts_per_zone: 100,
             fail: |rig| {
                 let reader = rig.readers("zone-1")[0];
                 rig.kill(reader);
             },
-            bound: REPLACED_MILLIS,
+            bound: READER_BOUND_MILLIS,
         },
         Case {
-            name: "every watcher is killed",
-            hosts_a_zone: 30,
+            name: "every reader is killed",
+            hosts_per_zone: 30,
             fail: |rig| {
                 for zone in rig.zones() {
                     for reader in rig.readers(&zone) {
@@ -377,61 +388,69 @@
                     }
                 }
             },
-            bound: REPLACED_MILLIS,
+            bound: READER_BOUND_MILLIS,
         },
         Case {
-            name: "single hosts are partitioned from the store",
-            hosts_a_zone: 30,
+            name: "every 17th host is rejected by the store",
+            hosts_per_zone: 30,
             fail: |rig| {
-                for place in (0..rig.hosts.len()).step_by(17) {
-                    rig.hosts[place].served = false;
+                for index in (0..rig.hosts.len()).step_by(17) {
+                    rig.hosts[index].served = false;
                 }
             },
-            bound: REPLACED_MILLIS,
+            bound: READER_BOUND_MILLIS,
         },
         Case {
-            name: "the store rejects a third of the hosts, watchers among them",
-            hosts_a_zone: 30,
+            name: "the readers and a third of the hosts are rejected by the store",
+            hosts_per_zone: 30,
             fail: |rig| {
                 let zones = rig.zones();
                 let readers: Vec<_> = zones.iter().flat_map(|zone| rig.readers(zone)).collect();
-                for place in 0..rig.hosts.len() {
-                    rig.hosts[place].served = place % 3 != 0 && !readers.contains(&place);
+                for index in 0..rig.hosts.len() {
+                    rig.hosts[index].served = index % 3 != 0 && !readers.contains(&index);
                 }
             },
-            bound: BOUND_MILLIS,
+            bound: FAILURE_BOUND_MILLIS,
         },
         Case {
-            name: "the store drops its history",
-            hosts_a_zone: 30,
+            name: "store drops its history",
+            hosts_per_zone: 30,
             fail: |rig| rig.drop_history(),
-            bound: REPLACED_MILLIS,
+            bound: READER_BOUND_MILLIS,
         },
     ];
     for case in cases {
-        let mut rig = settled_fleet(case.hosts_a_zone, 11);
+        let mut rig = settled_fleet(case.hosts_per_zone, 11);
         (case.fail)(&mut rig);
         evacuate(&mut rig, "zone-2");
-        pass_busy(&mut rig, case.bound);
-        let missing = hosts_without(&rig, "zone-2", true);
-        assert!(missing.is_empty(), "{}: {missing:?} go on", case.name);
+        pass_with_registrations(&mut rig, case.bound);
+        let outdated = outdated_hosts(&rig, "zone-2", true);
+        assert!(
+            outdated.is_empty(),
+            "{}: {outdated:?} still place flows",
+            case.name
+        );
         restore(&mut rig, "zone-2");
-        pass_busy(&mut rig, case.bound.max(REPLACED_MILLIS));
-        let missing = hosts_without(&rig, "zone-2", false);
-        assert!(missing.is_empty(), "{}: {missing:?} hold it", case.name);
+        pass_with_registrations(&mut rig, case.bound.max(READER_BOUND_MILLIS));
+        let outdated = outdated_hosts(&rig, "zone-2", false);
+        assert!(
+            outdated.is_empty(),
+            "{}: {outdated:?} still evacuate it",
+            case.name
+        );
     }
 }
 
 #[test]
-fn test_frozen_watcher_delays_no_evacuation() {
-    // Guards against a zone that waits for a watcher that stands still.
+fn test_frozen_reader_delays_no_evacuation() {
+    // Guards against a zone that waits for its stalled reader.
     let mut rig = settled_fleet(30, 12);
     let reader = rig.readers("zone-1")[0];
     rig.freeze(reader, Duration::from_secs(8));
     evacuate(&mut rig, "zone-3");
-    pass_busy(&mut rig, BOUND_MILLIS);
-    let missing = hosts_without(&rig, "zone-3", true);
-    assert_eq!(missing, [reader], "only the frozen host may lack it");
+    pass_with_registrations(&mut rig, FAILURE_BOUND_MILLIS);
+    let outdated = outdated_hosts(&rig, "zone-3", true);
+    assert_eq!(outdated, [reader], "only the frozen host may be outdated");
 }
 
 #[test]
@@ -465,95 +484,97 @@
             true => evacuate(&mut rig, zone),
             false => restore(&mut rig, zone),
         }
-        pass_busy(&mut rig, CALM_MILLIS);
+        pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
         for (number, evacuated) in expected.into_iter().enumerate() {
             let name = format!("zone-{}", number + 1);
-            let missing = hosts_without(&rig, &name, evacuated);
-            assert!(missing.is_empty(), "{zone}, then {name}: {missing:?}");
+            let outdated = outdated_hosts(&rig, &name, evacuated);
+            assert!(outdated.is_empty(), "{zone}, then {name}: {outdated:?}");
         }
     }
 }
 
 #[test]
-fn test_evacuation_taken_back_at_once_is_over_everywhere() {
-    // Guards against hosts that learn of the request after its end.
+fn test_evacuation_cancelled_at_once_ends_on_every_host() {
+    // Guards against hosts that receive the evacuation after its end and apply it.
     let mut rig = settled_fleet(30, 14);
     for _round in 0..5 {
         evacuate(&mut rig, "zone-1");
         rig.pass(20);
         restore(&mut rig, "zone-1");
-        pass_busy(&mut rig, 200);
+        pass_with_registrations(&mut rig, 200);
     }
-    pass_busy(&mut rig, CALM_MILLIS);
-    let missing = hosts_without(&rig, "zone-1", false);
-    assert!(missing.is_empty(), "{missing:?} hold it");
+    pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
+    let outdated = outdated_hosts(&rig, "zone-1", false);
+    assert!(outdated.is_empty(), "{outdated:?} still evacuate it");
 }
 
 #[test]
 fn test_restarted_hosts_know_the_evacuation_before_they_are_ready() {
-    // Guards against hosts that take callers' packets without the evacuation in force.
+    // Guards against hosts that accept callers' packets before they apply the evacuation.
     let mut rig = settled_fleet(30, 15);
     evacuate(&mut rig, "zone-2");
-    pass_busy(&mut rig, 500);
-    for place in 0..rig.hosts.len() {
-        rig.kill(place);
+    pass_with_registrations(&mut rig, 500);
+    for index in 0..rig.hosts.len() {
+        rig.kill(index);
     }
     rig.pass(1000);
     rig.start_all();
     for _step in 0..200 {
         rig.pass(20);
         let early = (0..rig.hosts.len())
-            .filter(|place| rig.hosts[*place].core.is_ready())
-            .find(|place| !rig.evacuates(*place, "zone-2"));
+            .filter(|index| rig.hosts[*index].core.is_ready())
+            .find(|index| !rig.evacuates(*index, "zone-2"));
         assert_eq!(early, None, "ready without the evacuation");
     }
-    let missing = hosts_without(&rig, "zone-2", true);
-    assert!(missing.is_empty(), "{missing:?} have no state");
+    let outdated = outdated_hosts(&rig, "zone-2", true);
+    assert!(outdated.is_empty(), "{outdated:?} do not evacuate it");
 }
 
 #[test]
 fn test_partitioned_zone_learns_of_its_evacuation() {
-    // Guards against a zone that is cut off from the others, but not from the store.
+    // Guards against a zone that is partitioned from the others, but not from the store, and misses
+    // its own evacuation.
     let mut rig = settled_fleet(30, 16);
-    let members = (0..rig.hosts.len()).filter(|place| rig.hosts[*place].zone == "zone-3");
-    let members: Vec<HostPlace> = members.collect();
-    rig.part(members);
+    let members = (0..rig.hosts.len()).filter(|index| rig.hosts[*index].zone == "zone-3");
+    let members: Vec<HostIndex> = members.collect();
+    rig.isolate(members);
     evacuate(&mut rig, "zone-3");
-    pass_busy(&mut rig, REPLACED_MILLIS);
-    let missing = hosts_without(&rig, "zone-3", true);
-    assert!(missing.is_empty(), "{missing:?} go on");
-    rig.part([]);
+    pass_with_registrations(&mut rig, READER_BOUND_MILLIS);
+    let outdated = outdated_hosts(&rig, "zone-3", true);
+    assert!(outdated.is_empty(), "{outdated:?} still place flows");
+    rig.isolate([]);
     restore(&mut rig, "zone-3");
-    pass_busy(&mut rig, REPLACED_MILLIS);
-    let missing = hosts_without(&rig, "zone-3", false);
-    assert!(missing.is_empty(), "{missing:?} hold it");
+    pass_with_registrations(&mut rig, READER_BOUND_MILLIS);
+    let outdated = outdated_hosts(&rig, "zone-3", false);
+    assert!(outdated.is_empty(), "{outdated:?} still evacuate it");
 }
 
 #[test]
-fn test_late_peer_does_not_bring_an_evacuation_back() {
-    // Guards against hosts that were cut off and bring back an evacuation that has ended.
+fn test_partitioned_peer_does_not_renew_an_ended_evacuation() {
+    // Guards against hosts that were partitioned and spread an evacuation that has ended.
     let mut rig = settled_fleet(30, 17);
     evacuate(&mut rig, "zone-1");
-    pass_busy(&mut rig, CALM_MILLIS);
-    let parted: Vec<HostPlace> = (0..5).collect();
-    for place in &parted {
-        rig.hosts[*place].served = false;
+    pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
+    let isolated: Vec<HostIndex> = (0..5).collect();
+    for index in &isolated {
+        rig.hosts[*index].served = false;
     }
-    rig.part(parted.clone());
+    rig.isolate(isolated.clone());
     restore(&mut rig, "zone-1");
-    pass_busy(&mut rig, CALM_MILLIS);
-    rig.part([]);
-    for place in &parted {
-        rig.hosts[*place].served = true;
+    pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
+    rig.isolate([]);
+    for index in &isolated {
+        rig.hosts[*index].served = true;
     }
-    pass_busy(&mut rig, REPLACED_MILLIS);
-    let missing = hosts_without(&rig, "zone-1", false);
-    assert!(missing.is_empty(), "{missing:?} hold it");
+    pass_with_registrations(&mut rig, READER_BOUND_MILLIS);
+    let outdated = outdated_hosts(&rig, "zone-1", false);
+    assert!(outdated.is_empty(), "{outdated:?} still evacuate it");
 }
 
 #[test]
-fn test_evacuation_in_a_list_that_a_peer_shortens() {
-    // Guards against a full state from a peer in which what is known is only named.
+fn test_whole_state_names_a_known_evacuation() {
+    // Guards against a whole state in which an evacuation that the receiver knows, and that is
+    // named without its content, counts as changed or unreadable.
     let mut view = lagoonproxy_packet::state::state_snapshot::StateSnapshot::default();
     let items: Vec<PublishedItem> = vec![
         routes_item(1, default_routes(1)),
@@ -562,7 +583,7 @@
     ];
     view.merge(&whole(10, items));
     let mut behind = view.clone();
-    // The history between is not known, so that everything is listed again.
+    // The snapshot lacks the changes between these lists, so that its update is whole.
     view.merge(&whole(400, view.update_since(&StateQuery::default()).items));
     view.merge(&whole(800, view.update_since(&StateQuery::default()).items));
     let update = view.update_since(&query(10));
--- a/packet/tests/test_zone_spill.rs
+++ b/packet/tests/test_zone_spill.rs
@@ -1,4 +1,5 @@
-//! Shares of new flows that leave a contended zone, and the reports between zones that they follow from.
+//! Tests of spilling to other zones: the shares of new flows that a contended service sends there,
+//! and the load reports between zones that determine them.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -37,25 +38,25 @@
 
 use crate::core_rig::*;
 
-/// Slots of the service in each zone of the tables.
+/// Slots of the service in each zone.
 const SLOTS: u32 = 100;
 
-/// The interval at which hosts look at their shares.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which hosts compute their shares.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Thousandths of a share.
+/// Units of [`FULL_SHARE`] per thousandth.
 const THOUSANDTH: u32 = FULL_SHARE / 1000;
 
-fn tag_of_ledger() -> ServiceTag {
+fn ledger_tag() -> ServiceTag {
     service_tag(&"ledger".into())
 }
 
-/// The load of the ledger in the own zone at a pressure in thousandths.
-fn local_at(pressure: u32) -> LocalLoad {
+/// Returns the ledger's load in the own zone at a pressure in thousandths.
+fn local_load(pressure: u32) -> LocalLoad {
     LocalLoad {
         index: 0,
         name: "ledger".into(),
-        tag: tag_of_ledger(),
+        tag: ledger_tag(),
         slots: SLOTS,
         in_progress: pressure * SLOTS,
         pressure,
@@ -66,9 +67,10 @@
     }
 }
 
+/// Returns the ledger's load as a digest contains it.
 fn service_entry(pressure: u32) -> ZoneServiceEntry {
     ZoneServiceEntry {
-        service: tag_of_ledger(),
+        service: ledger_tag(),
         slots: SLOTS,
         in_progress: pressure * SLOTS,
         sent: 0,
@@ -87,9 +89,10 @@
     }
 }
 
+/// Returns the ledger's load as a report of its zone contains it.
 fn service_load(pressure: u32) -> ZoneServiceLoad {
     ZoneServiceLoad {
-        service: tag_of_ledger(),
+        service: ledger_tag(),
         slots: SLOTS,
         in_progress: pressure * SLOTS,
         pressure,
@@ -98,7 +101,7 @@
     }
 }
 
-/// The hash of a flow by its number.
+/// Returns the hash of a flow.
 fn flow_hash(flow: u64) -> u64 {
     flow.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
@@ -107,7 +110,7 @@
     SocketAddrV4::new(Ipv4Addr::new(127, 0, zone, number), 7000)
 }
 
-/// One host's spill in virtual time.
+/// Simulates one host's spilling in virtual time.
 struct SpillRig {
     spill: ZoneSpill,
     now: Instant,
@@ -126,7 +129,7 @@
     fn with_config(local: LocalLoad, config: ZoneSpillConfig) -> Self {
         Self {
             spill: ZoneSpill::new(ZONE.into(), config),
-            // Ages are subtracted from the present time.
+            // Ages of reports are subtracted from this time.
             now: Instant::now() + Duration::from_secs(3600),
             local,
             evacuated: EvacuatedZones::new(),
@@ -162,36 +165,37 @@
         self.spill.tick(self.now, input, &mut self.events);
     }
 
-    /// Lets time pass with a digest in each look.
-    fn pass(&mut self, millis: u64, entries: &[ZoneLoadEntry]) {
-        for _look in 0..millis / 100 {
-            self.now += LOOK;
+    /// Advances time by `millis` with a digest in each tick.
+    fn pass_with_digests(&mut self, millis: u64, entries: &[ZoneLoadEntry]) {
+        for _tick in 0..millis / 100 {
+            self.now += TICK_INTERVAL;
             self.digest(entries);
             self.tick();
         }
     }
 
-    /// Lets time pass without a digest.
-    fn pass_deaf(&mut self, millis: u64) {
-        for _look in 0..millis / 100 {
-            self.now += LOOK;
+    /// Advances time by `millis` without digests.
+    fn pass_without_digests(&mut self, millis: u64) {
+        for _tick in 0..millis / 100 {
+            self.now += TICK_INTERVAL;
             self.tick();
         }
     }
 
-    /// Thousandths of new flows that leave for a zone.
+    /// Returns the share of new flows that are spilled to a zone, in thousandths.
     fn share(&self, zone: &str) -> u32 {
         let mut shares = self.spill.shares(0).iter();
         let share = shares.find(|share| share.zone == zone);
         share.map_or(0, |share| share.share / THOUSANDTH)
     }
 
-    fn sum(&self) -> u32 {
+    /// Returns the share of new flows that are spilled to any zone, in thousandths.
+    fn total_share(&self) -> u32 {
         let shares = self.spill.shares(0).iter();
         shares.map(|share| share.share).sum::<u32>() / THOUSANDTH
     }
 
-    /// Thousandths of shares, and their zones, as events said.
+    /// Returns the zones and shares, in thousandths, of all spill events.
     fn reported(&self) -> Vec<(String, u32)> {
         let events = self.events.iter();
         let reported = events.filter_map(|event| match event {
@@ -201,7 +205,7 @@
         reported.collect()
     }
 
-    fn due(&mut self, peers: &PeerTable) -> Vec<AddressedDatagram> {
+    fn due_datagrams(&mut self, peers: &PeerTable) -> Vec<AddressedDatagram> {
         let services = [self.local.clone()];
         let input = SpillInput {
             is_aggregator: self.is_aggregator,
@@ -211,8 +215,9 @@
         self.spill.due_datagrams(self.now, input, peers)
     }
 
-    fn ask(&mut self, peers: &PeerTable) -> ZoneLoadReport {
-        let due = self.due(peers);
+    /// Returns the report that is due, which requests replies.
+    fn due_query(&mut self, peers: &PeerTable) -> ZoneLoadReport {
+        let due = self.due_datagrams(peers);
         match due.into_iter().map(|addressed| addressed.datagram).next() {
             Some(PeerDatagram::ZoneLoad(report)) => report,
             other => panic!("no report is due: {other:?}"),
@@ -227,17 +232,17 @@
     }
 }
 
-/// A reply of a zone to a report.
-fn reply_to(asked: &ZoneLoadReport, zone: &str, pressure: u32) -> ZoneLoadReport {
+/// Returns a zone's reply to a report.
+fn reply_to(query: &ZoneLoadReport, zone: &str, pressure: u32) -> ZoneLoadReport {
     ZoneLoadReport {
         zone: zone.into(),
-        sequence: asked.sequence,
+        sequence: query.sequence,
         wants_reply: false,
         services: vec![service_load(pressure)],
     }
 }
 
-/// A heartbeat of a host.
+/// Returns a host's heartbeat.
 pub fn heartbeat(zone: &str, capacity: u32, ready: bool) -> PeerHeartbeat {
     PeerHeartbeat {
         zone: zone.into(),
@@ -254,33 +259,39 @@
     }
 }
 
-/// Hosts of zones that were heard now: two large ones, and a small one.
+/// Returns the peer table of a host that has just received heartbeats of a small host and two large
+/// ones in each zone of `others`.
 fn peers_of(now: Instant, own: SocketAddrV4, zone: &str, others: &[(&str, u8)]) -> PeerTable {
     let mut peers = PeerTable::new(own, zone.into(), Vec::new());
-    for (zone, place) in others {
+    for (zone, zone_number) in others {
         for (number, capacity) in [(1, 84), (2, 500), (3, 500)] {
-            peers.heard(now, host(*place, number), heartbeat(zone, capacity, true));
+            peers.heard(
+                now,
+                host(*zone_number, number),
+                heartbeat(zone, capacity, true),
+            );
         }
     }
     peers
 }
 
 #[test]
-fn test_share_that_leaves() {
-    // Guards against flows that stay where requests queue, and against flows that leave for zones without room.
+fn test_spilled_share() {
+    // Guards against flows that stay in a zone where requests queue, and against flows that are
+    // spilled to zones without free capacity.
     struct Case {
         name: &'static str,
         local: LocalLoad,
         zones: Vec<ZoneLoadEntry>,
         config: ZoneSpillConfig,
         evacuated: Option<&'static str>,
-        /// Least and most thousandths for zones b and c.
+        /// Minimum and maximum shares in thousandths for zones b and c.
         expected: [(u32, u32); 2],
     }
     const NONE: (u32, u32) = (0, 0);
     let usual = || Case {
         name: "",
-        local: local_at(1300),
+        local: local_load(1300),
         zones: vec![zone_entry("b", 500), zone_entry("c", 500)],
         config: ZoneSpillConfig::default(),
         evacuated: None,
@@ -296,29 +307,30 @@
             ..zone_entry("b", 500)
         }]
     };
-    // Half of the 50 free slots of a zone is 25 of 130 requests. Those beyond 1.3 for each slot wait in queues.
-    let half_of_free = (170, 193);
+    // Half of a zone's 50 free slots is 25 of 130 requests. Requests beyond 1.3 per slot wait in
+    // queues and do not count as demand.
+    let half_of_free_slots = (170, 193);
     let cases = [
         Case {
             name: "one zone at 1.3 and two at 0.5",
-            expected: [half_of_free; 2],
+            expected: [half_of_free_slots; 2],
             ..usual()
         },
         Case {
-            name: "two full zones and one with room: half of its slots for both",
+            name: "two saturated zones share half of the free slots of the third",
             zones: vec![zone_entry("b", 1300), zone_entry("c", 500)],
             expected: [NONE, (76, 97)],
             ..usual()
         },
         Case {
-            name: "a contended zone does not divide the room of a busier one",
+            name: "a contended zone gets no part of the free capacity of a busier one",
             zones: vec![zone_entry("b", 760), zone_entry("c", 770)],
-            // A quarter of 24 free slots, and half of 23, of 130 requests.
+            // A quarter of 24 free slots, and half of 23, as shares of 130 requests.
             expected: [(26, 46), (68, 88)],
             ..usual()
         },
         Case {
-            name: "what a contended zone has sent away counts as its demand",
+            name: "requests that a contended zone has spilled count as its demand",
             zones: vec![
                 ZoneLoadEntry {
                     services: vec![ZoneServiceEntry {
@@ -334,42 +346,42 @@
             ..usual()
         },
         Case {
-            name: "all zones are full",
+            name: "all zones are saturated",
             zones: vec![zone_entry("b", 1300), zone_entry("c", 1400)],
             ..usual()
         },
         Case {
-            name: "the others have no free slot, though their pressure is lower",
-            local: local_at(2500),
+            name: "the others have no free slot, although their pressure is lower",
+            local: local_load(2500),
             zones: vec![zone_entry("b", 1000), zone_entry("c", 1200)],
             ..usual()
         },
         Case {
-            name: "the difference is below the margin",
-            local: local_at(990),
+            name: "the difference in pressure is below the margin",
+            local: local_load(990),
             ..usual()
         },
         Case {
-            name: "the service is calm here",
+            name: "the service is not contended in the own zone",
             local: LocalLoad {
                 is_contended: false,
-                ..local_at(1300)
+                ..local_load(1300)
             },
             ..usual()
         },
         Case {
             name: "a zone is evacuated",
             evacuated: Some("b"),
-            expected: [NONE, half_of_free],
+            expected: [NONE, half_of_free_slots],
             ..usual()
         },
         Case {
             name: "a zone's upstreams do not respond to this zone",
             local: LocalLoad {
                 responding: vec!["c".into()],
-                ..local_at(1300)
+                ..local_load(1300)
             },
-            expected: [NONE, half_of_free],
+            expected: [NONE, half_of_free_slots],
             ..usual()
         },
         Case {
@@ -386,11 +398,11 @@
                 },
                 zone_entry("c", 500),
             ],
-            expected: [NONE, half_of_free],
+            expected: [NONE, half_of_free_slots],
             ..usual()
         },
         Case {
-            name: "a zone's report is old",
+            name: "a zone's report is outdated",
             zones: vec![
                 ZoneLoadEntry {
                     age: Duration::from_millis(2100),
@@ -398,11 +410,11 @@
                 },
                 zone_entry("c", 500),
             ],
-            expected: [NONE, half_of_free],
+            expected: [NONE, half_of_free_slots],
             ..usual()
         },
         Case {
-            name: "a zone sheds, though few requests are in progress",
+            name: "a zone sheds, although few requests are in progress",
             zones: vec![
                 ZoneLoadEntry {
                     services: vec![ZoneServiceEntry {
@@ -413,39 +425,39 @@
                 },
                 zone_entry("c", 500),
             ],
-            expected: [NONE, half_of_free],
+            expected: [NONE, half_of_free_slots],
             ..usual()
         },
         Case {
-            name: "a delay of 24 ms is within a tenth of 250 ms",
+            name: "a delay of 24 ms is within a tenth of the objective of 250 ms",
             zones: delayed(Some(24)),
-            expected: [half_of_free, NONE],
+            expected: [half_of_free_slots, NONE],
             ..usual()
         },
         Case {
-            name: "a delay of 26 ms is not, and the difference is 0.8",
+            name: "a delay of 26 ms is not, and the pressures differ by 0.8",
             zones: delayed(Some(26)),
             ..usual()
         },
         Case {
-            name: "the same with a difference of 1.1",
-            local: local_at(1600),
+            name: "a delay of 26 ms, and the pressures differ by 1.1",
+            local: local_load(1600),
             zones: delayed(Some(26)),
-            expected: [half_of_free, NONE],
+            expected: [half_of_free_slots, NONE],
             ..usual()
         },
         Case {
-            name: "the same with an objective of a second",
+            name: "a delay of 26 ms, and the objective is a second",
             local: LocalLoad {
                 objective: Some(Duration::from_secs(1)),
-                ..local_at(1300)
+                ..local_load(1300)
             },
             zones: delayed(Some(26)),
-            expected: [half_of_free, NONE],
+            expected: [half_of_free_slots, NONE],
             ..usual()
         },
         Case {
-            name: "a delay that was never measured counts as long",
+            name: "an unknown delay counts as long",
             zones: delayed(None),
             ..usual()
         },
@@ -453,33 +465,33 @@
             name: "no objective is published",
             local: LocalLoad {
                 objective: None,
-                ..local_at(1300)
+                ..local_load(1300)
             },
             zones: delayed(Some(500)),
-            expected: [half_of_free, NONE],
+            expected: [half_of_free_slots, NONE],
             ..usual()
         },
         Case {
-            name: "a raised margin",
+            name: "a larger margin that is not reached",
             config: margin(900),
             ..usual()
         },
         Case {
-            name: "a raised margin that is exceeded",
-            local: local_at(1500),
+            name: "a larger margin that is exceeded",
+            local: local_load(1500),
             config: margin(900),
-            expected: [half_of_free; 2],
+            expected: [half_of_free_slots; 2],
             ..usual()
         },
         Case {
-            name: "a raised margin is raised by 0.5 for a long delay",
-            local: local_at(1800),
+            name: "a long delay adds 0.5 to a larger margin",
+            local: local_load(1800),
             zones: delayed(Some(26)),
             config: margin(900),
             ..usual()
         },
         Case {
-            name: "a large zone with room takes half of the flows at most",
+            name: "a large zone with free capacity gets at most half of the flows",
             zones: vec![ZoneLoadEntry {
                 services: vec![ZoneServiceEntry {
                     slots: 10_000,
@@ -496,11 +508,11 @@
         if let Some(zone) = case.evacuated {
             rig.evacuate(zone);
         }
-        rig.pass(6000, &case.zones);
-        for (zone, (least, most)) in ["b", "c"].into_iter().zip(case.expected) {
+        rig.pass_with_digests(6000, &case.zones);
+        for (zone, (min, max)) in ["b", "c"].into_iter().zip(case.expected) {
             let share = rig.share(zone);
             assert!(
-                (least..=most).contains(&share),
+                (min..=max).contains(&share),
                 "{}: {share} for {zone}",
                 case.name
             );
@@ -510,40 +522,44 @@
 
 #[test]
 fn test_share_rises_and_decays_by_steps() {
-    // Guards against all hosts of a zone that move many flows at once.
+    // Guards against sudden shifts of many flows by all hosts of a zone.
     let zones = [zone_entry("b", 500), zone_entry("c", 500)];
-    let mut rig = SpillRig::new(local_at(1300));
-    rig.pass(200, &zones);
-    assert_eq!(rig.sum(), 50, "the first step");
+    let mut rig = SpillRig::new(local_load(1300));
+    rig.pass_with_digests(200, &zones);
+    assert_eq!(rig.total_share(), 50, "the first step");
     for _step in 0..4 {
-        let before = rig.sum();
-        rig.pass(300, &zones);
-        assert!((1..=50).contains(&(rig.sum() - before)), "{}", rig.sum());
+        let before = rig.total_share();
+        rig.pass_with_digests(300, &zones);
+        assert!(
+            (1..=50).contains(&(rig.total_share() - before)),
+            "{}",
+            rig.total_share()
+        );
     }
-    rig.pass(4000, &zones);
-    let full = rig.sum();
-    rig.local = local_at(500);
-    rig.pass(300, &zones);
-    let after = rig.sum();
+    rig.pass_with_digests(4000, &zones);
+    let full = rig.total_share();
+    rig.local = local_load(500);
+    rig.pass_with_digests(300, &zones);
+    let after = rig.total_share();
     assert!(
         (full * 4 / 5 - 2..=full * 4 / 5).contains(&after),
         "{full}, {after}"
     );
-    rig.pass(6000, &zones);
-    assert_eq!(rig.sum(), 0);
+    rig.pass_with_digests(6000, &zones);
+    assert_eq!(rig.total_share(), 0);
 }
 
 #[test]
-fn test_zone_that_becomes_no_target_gets_no_flow_at_once() {
-    // Guards against flows for a zone that has just failed, for as long as a share would decay.
+fn test_ineligible_zone_loses_its_share_at_once() {
+    // Guards against flows that are spilled to a failed zone while its share decays.
     struct Case {
         name: &'static str,
         fail: fn(&mut SpillRig),
     }
-    let rest = || [zone_entry("c", 500)];
+    let remaining = || [zone_entry("c", 500)];
     let cases = [
         Case {
-            name: "it is evacuated",
+            name: "the zone is evacuated",
             fail: |rig| {
                 rig.evacuate("b");
                 rig.tick();
@@ -557,23 +573,23 @@
             },
         },
         Case {
-            name: "it is cut off",
+            name: "the zone's reports become outdated",
             fail: |rig| {
                 let late = |millis| ZoneLoadEntry {
                     age: Duration::from_millis(millis),
                     ..zone_entry("b", 500)
                 };
                 for age in (100..=2000).step_by(100) {
-                    rig.pass(100, &[late(age), zone_entry("c", 500)]);
+                    rig.pass_with_digests(100, &[late(age), zone_entry("c", 500)]);
                 }
-                assert!(rig.share("b") > 0, "it may still return");
-                rig.pass(100, &[late(2100), zone_entry("c", 500)]);
+                assert!(rig.share("b") > 0, "the last report is still used");
+                rig.pass_with_digests(100, &[late(2100), zone_entry("c", 500)]);
             },
         },
     ];
     for case in cases {
-        let mut rig = SpillRig::new(local_at(1300));
-        rig.pass(5000, &[zone_entry("b", 500), zone_entry("c", 500)]);
+        let mut rig = SpillRig::new(local_load(1300));
+        rig.pass_with_digests(5000, &[zone_entry("b", 500), zone_entry("c", 500)]);
         assert!(rig.share("b") > 100);
         (case.fail)(&mut rig);
         assert_eq!(rig.share("b"), 0, "{}", case.name);
@@ -586,20 +602,21 @@
             .into_iter()
             .rfind(|(zone, _share)| zone == "b");
         assert_eq!(last, Some(("b".into(), 0)), "{}", case.name);
-        // It returns: its share starts anew.
+        // When the zone is eligible again, its share rises from zero.
         rig.evacuated.clear();
         rig.local.responding = vec!["b".into(), "c".into()];
-        rig.pass(300, &rest());
-        let before = rig.sum();
-        rig.pass(300, &[zone_entry("b", 500), zone_entry("c", 500)]);
+        rig.pass_with_digests(300, &remaining());
+        let before = rig.total_share();
+        rig.pass_with_digests(300, &[zone_entry("b", 500), zone_entry("c", 500)]);
         assert!(rig.share("b") <= 50, "{}: {}", case.name, rig.share("b"));
-        assert!(rig.sum() <= before + 50, "{}", case.name);
+        assert!(rig.total_share() <= before + 50, "{}", case.name);
     }
 }
 
 #[test]
-fn test_sum_of_shares_is_bounded_while_zones_come() {
-    // Guards against a share that rises beside one that is not yet worth lowering.
+fn test_total_share_is_bounded_while_zones_join() {
+    // Guards against a total above its limit when one zone's share rises while the decrease of
+    // another's is still too small to be applied.
     let large = |zone: &str, slots| ZoneLoadEntry {
         services: vec![ZoneServiceEntry {
             slots,
@@ -607,11 +624,11 @@
         }],
         ..zone_entry(zone, 0)
     };
-    let mut rig = SpillRig::new(local_at(1300));
-    rig.pass(6000, &[large("b", 10_000)]);
-    assert!(rig.sum() >= 480);
-    for _look in 0..40 {
-        rig.pass(100, &[large("b", 10_000), large("c", 500)]);
+    let mut rig = SpillRig::new(local_load(1300));
+    rig.pass_with_digests(6000, &[large("b", 10_000)]);
+    assert!(rig.total_share() >= 480);
+    for _tick in 0..40 {
+        rig.pass_with_digests(100, &[large("b", 10_000), large("c", 500)]);
         let shares = rig.spill.shares(0).iter();
         let sum: u32 = shares.map(|share| share.share).sum();
         assert!(sum <= FULL_SHARE / 2, "{sum}");
@@ -619,11 +636,12 @@
 }
 
 #[test]
-fn test_events_of_spill() {
-    // Guards against log lines for each small change, and against an end that nobody is told.
+fn test_spill_events() {
+    // Guards against an event for each small change, and against the end of spilling without an
+    // event.
     let zones = [zone_entry("b", 500), zone_entry("c", 500)];
-    let mut rig = SpillRig::new(local_at(1300));
-    rig.pass(5000, &zones);
+    let mut rig = SpillRig::new(local_load(1300));
+    rig.pass_with_digests(5000, &zones);
     let raised = rig.reported();
     let steps: Vec<u32> = raised
         .iter()
@@ -635,73 +653,76 @@
         steps.windows(2).all(|pair| pair[1] >= pair[0] + 50),
         "{steps:?}"
     );
-    rig.local = local_at(300);
-    rig.pass(8000, &zones);
+    rig.local = local_load(300);
+    rig.pass_with_digests(8000, &zones);
     let last = rig
         .reported()
         .into_iter()
         .rfind(|(zone, _share)| zone == "b");
     assert_eq!(last, Some(("b".into(), 0)));
     let count = rig.reported().len();
-    rig.pass(2000, &zones);
-    assert_eq!(rig.reported().len(), count, "nothing changes");
+    rig.pass_with_digests(2000, &zones);
+    assert_eq!(rig.reported().len(), count, "no event without a change");
 }
 
 #[test]
-fn test_hosts_together_send_off_what_is_meant() {
-    // Guards against hosts that each send off the whole share, or draw the same flows as another choice does.
+fn test_hosts_together_spill_the_intended_share() {
+    // Guards against hosts that together spill more than the share, and against a draw of flows
+    // that correlates with another draw from the same hash.
     let zones = [zone_entry("b", 500), zone_entry("c", 500)];
-    let mut hosts: Vec<SpillRig> = (0..30).map(|_host| SpillRig::new(local_at(1300))).collect();
+    let mut hosts: Vec<SpillRig> = (0..30)
+        .map(|_host| SpillRig::new(local_load(1300)))
+        .collect();
     for rig in &mut hosts {
-        rig.pass(6000, &zones);
+        rig.pass_with_digests(6000, &zones);
     }
     let mut random = StdRng::seed_from_u64(7);
     let flows = 120_000;
-    let mut left = [0u32; 2];
-    let mut left_of_half = 0;
+    let mut spilled = [0u32; 2];
+    let mut spilled_of_lower_half = 0;
     for flow in 0..flows {
         let hash: u64 = random.random();
         let rig = &hosts[flow % hosts.len()];
         let target = rig.spill.target(0, hash);
-        left[0] += u32::from(target.is_some_and(|zone| zone == "b"));
-        left[1] += u32::from(target.is_some_and(|zone| zone == "c"));
-        left_of_half += u32::from(target.is_some() && hash % 1_000_000 < 500_000);
+        spilled[0] += u32::from(target.is_some_and(|zone| zone == "b"));
+        spilled[1] += u32::from(target.is_some_and(|zone| zone == "c"));
+        spilled_of_lower_half += u32::from(target.is_some() && hash % 1_000_000 < 500_000);
         assert_eq!(
             target,
             hosts[0].spill.target(0, hash),
-            "every host draws alike"
+            "all hosts draw the same flows"
         );
     }
-    for (zone, left) in ["b", "c"].into_iter().zip(left) {
+    for (zone, spilled) in ["b", "c"].into_iter().zip(spilled) {
         let mean = f64::from(hosts[0].share(zone)) / 1000.0 * flows as f64;
-        // A share is cut to whole thousandths here.
+        // `share` rounds down to thousandths.
         let bound = 4.0 * mean.sqrt() + flows as f64 / 1000.0;
         assert!(
-            (f64::from(left) - mean).abs() < bound,
-            "{zone}: {left} of {mean}"
+            (f64::from(spilled) - mean).abs() < bound,
+            "{zone}: {spilled}, expected {mean}"
         );
     }
-    let half = f64::from(left[0] + left[1]) / 2.0;
+    let half = f64::from(spilled[0] + spilled[1]) / 2.0;
     let bound = 4.0 * half.sqrt();
     assert!(
-        (f64::from(left_of_half) - half).abs() < bound,
-        "the draw follows that of the route"
+        (f64::from(spilled_of_lower_half) - half).abs() < bound,
+        "the draw correlates with that of the route"
     );
 }
 
 #[test]
-fn test_two_contended_zones_share_the_room_of_the_third() {
-    // Guards against zones that each take all of what is free, and overload the third together.
+fn test_two_contended_zones_share_free_capacity_of_a_third() {
+    // Guards against two zones that each use all free slots of a third and overload it together.
     let free = f64::from(SLOTS) * 0.6;
     let mut sent = 0.0;
     for (own, other) in [("a", "b"), ("b", "a")] {
         let config = ZoneSpillConfig::default();
         let mut rig = SpillRig::new(LocalLoad {
             responding: vec![other.into(), "c".into()],
-            ..local_at(1300)
+            ..local_load(1300)
         });
         rig.spill = ZoneSpill::new(own.into(), config);
-        rig.pass(6000, &[zone_entry(other, 1300), zone_entry("c", 400)]);
+        rig.pass_with_digests(6000, &[zone_entry(other, 1300), zone_entry("c", 400)]);
         assert!(rig.share("c") > 0);
         sent += f64::from(rig.share("c")) / 1000.0 * 1.3 * f64::from(SLOTS);
     }
@@ -712,62 +733,63 @@
 }
 
 #[test]
-fn test_requests_that_were_sent_do_not_end_their_own_reason() {
-    // Guards against shares that swing: what has left makes the pressures alike, which is no reason to end.
-    let mut rig = SpillRig::new(local_at(1300));
-    rig.pass(5000, &[zone_entry("b", 500)]);
+fn test_spilled_requests_do_not_end_the_spill() {
+    // Guards against oscillating shares: spilled requests even out the pressures of the zones,
+    // which must not end the spill.
+    let mut rig = SpillRig::new(local_load(1300));
+    rig.pass_with_digests(5000, &[zone_entry("b", 500)]);
     let share = rig.share("b");
     assert!(share > 170);
     let sent = 25_000;
     rig.local.in_progress -= sent;
     rig.local.pressure = rig.local.in_progress / SLOTS;
-    let mut evened = zone_entry("b", 500);
-    evened.services[0].in_progress += sent;
-    evened.services[0].sent = sent;
-    rig.pass(5000, &[evened]);
+    let mut balanced = zone_entry("b", 500);
+    balanced.services[0].in_progress += sent;
+    balanced.services[0].sent = sent;
+    rig.pass_with_digests(5000, &[balanced]);
     assert_eq!(rig.share("b"), share);
     assert_eq!(rig.spill.demand_pressure(0), 1300);
 }
 
 #[test]
-fn test_only_aggregators_of_contended_zones_ask() {
-    // Guards against datagrams in calm, and against one from each host of a zone.
+fn test_only_aggregators_of_contended_zones_send_queries() {
+    // Guards against queries while the service is not contended, and from every host of a zone.
     struct Case {
         name: &'static str,
         is_aggregator: bool,
         pressure: u32,
-        reports: usize,
+        queries: usize,
     }
     let cases = [
         Case {
             name: "an aggregator of a contended zone",
             is_aggregator: true,
             pressure: 1300,
-            reports: 6,
+            queries: 6,
         },
         Case {
             name: "another host",
             is_aggregator: false,
             pressure: 1300,
-            reports: 0,
+            queries: 0,
         },
         Case {
-            name: "calm",
+            name: "an aggregator of an uncontended zone",
             is_aggregator: true,
             pressure: 600,
-            reports: 0,
+            queries: 0,
         },
     ];
     for case in cases {
-        let mut rig = SpillRig::new(local_at(case.pressure));
+        let mut rig = SpillRig::new(local_load(case.pressure));
         rig.is_aggregator = case.is_aggregator;
         let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1), ("c", 2), (ZONE, 3)]);
         let mut due = Vec::new();
-        for _look in 0..30 {
-            due.extend(rig.due(&peers));
-            rig.now += LOOK;
+        for _tick in 0..30 {
+            due.extend(rig.due_datagrams(&peers));
+            rig.now += TICK_INTERVAL;
         }
-        assert_eq!(due.len(), case.reports, "{}", case.name);
+        assert_eq!(due.len(), case.queries, "{}", case.name);
         for addressed in due {
             let targets = [host(1, 2), host(1, 3), host(2, 2), host(2, 3)];
             assert_eq!(addressed.targets, targets, "{}", case.name);
@@ -776,39 +798,40 @@
 }
 
 #[test]
-fn test_hosts_that_take_no_packets_are_not_asked() {
-    // Guards against reports to hosts that are about to stop, while others could answer.
+fn test_unready_hosts_get_no_queries() {
+    // Guards against queries to hosts that are about to stop, while others could reply.
     let now = Instant::now();
     let mut peers = peers_of(now, host(0, 9), ZONE, &[("b", 1)]);
     peers.heard(now, host(1, 2), heartbeat("b", 500, false));
     assert_eq!(peers.largest_remote(now, 2), [host(1, 3), host(1, 1)]);
 }
 
-/// An aggregator that has asked zone b and has its answers for some seconds.
-fn settled_aggregator() -> SpillRig {
-    let mut rig = SpillRig::new(local_at(1300));
+/// Returns an aggregator that has exchanged reports with zone b for 4 s and spills flows to it.
+fn spilling_aggregator() -> SpillRig {
+    let mut rig = SpillRig::new(local_load(1300));
     rig.is_aggregator = true;
-    exchange(&mut rig, 8, |rig, asked| {
+    exchange_reports(&mut rig, 8, |rig, query| {
         for number in [2, 3] {
             rig.spill
-                .heard(rig.now, host(1, number), &reply_to(asked, "b", 500));
+                .heard(rig.now, host(1, number), &reply_to(query, "b", 500));
         }
     });
     assert!(rig.share("b") > 100, "{}", rig.share("b"));
     rig
 }
 
-/// Lets the aggregator ask the hosts of zone b so many times, with replies 4 ms later.
-fn exchange(
+/// Lets the aggregator query the hosts of zone b every 500 ms, `rounds` times. `reply` delivers the
+/// replies 4 ms after each query.
+fn exchange_reports(
     rig: &mut SpillRig,
     rounds: usize,
     mut reply: impl FnMut(&mut SpillRig, &ZoneLoadReport),
 ) {
     for _round in 0..rounds {
         let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1)]);
-        let asked = rig.ask(&peers);
+        let query = rig.due_query(&peers);
         rig.now += Duration::from_millis(4);
-        reply(rig, &asked);
+        reply(rig, &query);
         rig.tick();
         rig.now += Duration::from_millis(246);
         rig.tick();
@@ -817,22 +840,23 @@
     }
 }
 
+/// Returns the zones of the digest that the host would send.
 fn entries_of(rig: &SpillRig) -> Vec<ZoneLoadEntry> {
     rig.spill.entries(rig.now, std::slice::from_ref(&rig.local))
 }
 
 #[test]
-fn test_aggregator_means_the_answers_and_measures_the_delay() {
-    let mut rig = SpillRig::new(local_at(1300));
+fn test_aggregator_averages_replies_and_measures_delay() {
+    let mut rig = SpillRig::new(local_load(1300));
     rig.is_aggregator = true;
     let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1)]);
-    let asked = rig.ask(&peers);
+    let query = rig.due_query(&peers);
     rig.now += Duration::from_millis(4);
     rig.spill
-        .heard(rig.now, host(1, 2), &reply_to(&asked, "b", 400));
+        .heard(rig.now, host(1, 2), &reply_to(&query, "b", 400));
     rig.now += Duration::from_millis(4);
     rig.spill
-        .heard(rig.now, host(1, 3), &reply_to(&asked, "b", 600));
+        .heard(rig.now, host(1, 3), &reply_to(&query, "b", 600));
     rig.now += Duration::from_millis(100);
     let entries = entries_of(&rig);
     assert_eq!(entries.len(), 1);
@@ -842,16 +866,17 @@
 }
 
 #[test]
-fn test_digest_tells_of_the_most_loaded_services() {
-    // Guards against digests that grow with the number of services, and leave out the one that needs spill most.
-    let mut rig = SpillRig::new(local_at(1300));
+fn test_digest_lists_the_most_loaded_services() {
+    // Guards against digests that grow with the number of services, and against digests without the
+    // most loaded service.
+    let mut rig = SpillRig::new(local_load(1300));
     rig.is_aggregator = true;
     let services: Vec<LocalLoad> = (0..100)
         .map(|number| LocalLoad {
             index: number,
             tag: number,
             pressure: 800 + number,
-            ..local_at(1300)
+            ..local_load(1300)
         })
         .collect();
     let input = SpillInput {
@@ -861,51 +886,52 @@
     };
     let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1)]);
     let due = rig.spill.due_datagrams(rig.now, input, &peers);
-    let PeerDatagram::ZoneLoad(asked) = &due[0].datagram else {
+    let PeerDatagram::ZoneLoad(query) = &due[0].datagram else {
         panic!("not a zone's load");
     };
-    let answer = ZoneLoadReport {
+    let reply = ZoneLoadReport {
         services: (0..100)
             .map(|service| ZoneServiceLoad {
                 service,
                 ..service_load(500)
             })
             .collect(),
-        ..reply_to(asked, "b", 500)
+        ..reply_to(query, "b", 500)
     };
-    rig.spill.heard(rig.now, host(1, 2), &answer);
+    rig.spill.heard(rig.now, host(1, 2), &reply);
     let entries = rig.spill.entries(rig.now, &services);
-    let told: usize = entries.iter().map(|entry| entry.services.len()).sum();
-    assert!((1..=MAX_DIGEST_LOADS).contains(&told), "{told}");
+    let count: usize = entries.iter().map(|entry| entry.services.len()).sum();
+    assert!((1..=MAX_DIGEST_LOADS).contains(&count), "{count}");
     assert_eq!(entries[0].services[0].service, 99);
 }
 
 #[test]
-fn test_answer_of_a_host_that_fell_silent_soon_counts_no_more() {
-    // Guards against a mean of what is and what was two seconds ago.
-    let mut rig = settled_aggregator();
+fn test_reply_of_a_silent_host_expires() {
+    // Guards against a mean that includes load from two seconds ago, of a host that no longer
+    // replies.
+    let mut rig = spilling_aggregator();
     for expected in [900, 1300, 1300] {
-        exchange(&mut rig, 1, |rig, asked| {
+        exchange_reports(&mut rig, 1, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 3), &reply_to(asked, "b", 1300));
+                .heard(rig.now, host(1, 3), &reply_to(query, "b", 1300));
         });
         assert_eq!(entries_of(&rig)[0].services[0].pressure, expected);
     }
 }
 
 #[test]
-fn test_requests_of_all_zones_in_a_zone_are_added_up() {
-    // Guards against a zone whose hosts see its own callers only, while two others fill its slots.
-    let mut rig = SpillRig::new(local_at(1300));
+fn test_spilled_requests_of_all_zones_are_summed() {
+    // Guards against a load of a zone that omits the requests spilled to it from two other zones.
+    let mut rig = SpillRig::new(local_load(1300));
     rig.is_aggregator = true;
     rig.local.sent = vec![SpilledRequests {
         zone: "b".into(),
         in_progress: 10_000,
     }];
     let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1), ("c", 2)]);
-    let asked = rig.ask(&peers);
-    let mut from_c = reply_to(&asked, "c", 1200);
-    from_c.services[0].visits = vec![
+    let query = rig.due_query(&peers);
+    let mut reply_of_c = reply_to(&query, "c", 1200);
+    reply_of_c.services[0].visits = vec![
         SpilledRequests {
             zone: "b".into(),
             in_progress: 7000,
@@ -916,8 +942,8 @@
         },
     ];
     rig.spill
-        .heard(rig.now, host(1, 2), &reply_to(&asked, "b", 500));
-    rig.spill.heard(rig.now, host(2, 2), &from_c);
+        .heard(rig.now, host(1, 2), &reply_to(&query, "b", 500));
+    rig.spill.heard(rig.now, host(2, 2), &reply_of_c);
     let entries = entries_of(&rig);
     let counts = entries
         .iter()
@@ -936,87 +962,94 @@
 
 #[test]
 fn test_lost_replies() {
-    // Guards against a zone that is given up for one lost datagram, or kept when it answers no more.
+    // Guards against a zone that loses its share because of one lost datagram, and against one that
+    // keeps its share although it no longer replies.
     struct Case {
         name: &'static str,
-        /// The hosts of zone b whose replies come.
+        /// Hosts of zone b whose replies arrive.
         replies: &'static [u8],
         rounds: usize,
-        stands: bool,
+        keeps_share: bool,
     }
     let cases = [
         Case {
-            name: "one of two hosts is not heard",
+            name: "no reply of one of two hosts",
             replies: &[3],
             rounds: 10,
-            stands: true,
+            keeps_share: true,
         },
         Case {
             name: "no reply for a second and a half",
             replies: &[],
             rounds: 3,
-            stands: true,
+            keeps_share: true,
         },
         Case {
             name: "no reply for more than two seconds",
             replies: &[],
             rounds: 5,
-            stands: false,
+            keeps_share: false,
         },
     ];
     for case in cases {
-        let mut rig = settled_aggregator();
+        let mut rig = spilling_aggregator();
         let before = rig.share("b");
-        exchange(&mut rig, case.rounds, |rig, asked| {
+        exchange_reports(&mut rig, case.rounds, |rig, query| {
             for number in case.replies {
                 rig.spill
-                    .heard(rig.now, host(1, *number), &reply_to(asked, "b", 500));
+                    .heard(rig.now, host(1, *number), &reply_to(query, "b", 500));
             }
         });
-        let expected = if case.stands { before } else { 0 };
+        let expected = if case.keeps_share { before } else { 0 };
         assert_eq!(rig.share("b"), expected, "{}", case.name);
-        exchange(&mut rig, 8, |rig, asked| {
+        exchange_reports(&mut rig, 8, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 2), &reply_to(asked, "b", 500));
+                .heard(rig.now, host(1, 2), &reply_to(query, "b", 500));
         });
-        assert_eq!(rig.share("b"), before, "{}: answered again", case.name);
+        assert_eq!(
+            rig.share("b"),
+            before,
+            "{}: replies arrive again",
+            case.name
+        );
     }
 }
 
 #[test]
-fn test_replies_that_are_not_of_now() {
-    // Guards against loads and ages from replies that come twice, out of order, late or unasked.
+fn test_outdated_replies_are_ignored() {
+    // Guards against loads and ages from replies that are duplicated, out of order, late or without
+    // a query.
     struct Case {
         name: &'static str,
-        hear: fn(&mut SpillRig, &[ZoneLoadReport]),
-        /// Pressure and age in milliseconds that the aggregator then tells of zone b.
+        deliver: fn(&mut SpillRig, &[ZoneLoadReport]),
+        /// Pressure, and age in milliseconds, of zone b in the aggregator's digest.
         expected: Option<(u32, u64)>,
     }
     let cases = [
         Case {
             name: "in order",
-            hear: |rig, asked| {
+            deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&asked[0], "b", 400));
+                    .heard(rig.now, host(1, 2), &reply_to(&queries[0], "b", 400));
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&asked[1], "b", 600));
+                    .heard(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
             },
             expected: Some((600, 0)),
         },
         Case {
             name: "out of order",
-            hear: |rig, asked| {
+            deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&asked[1], "b", 600));
+                    .heard(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&asked[0], "b", 400));
+                    .heard(rig.now, host(1, 2), &reply_to(&queries[0], "b", 400));
             },
             expected: Some((600, 0)),
         },
         Case {
-            name: "twice",
-            hear: |rig, asked| {
-                let reply = reply_to(&asked[1], "b", 600);
+            name: "duplicated",
+            deliver: |rig, queries| {
+                let reply = reply_to(&queries[1], "b", 600);
                 rig.spill.heard(rig.now, host(1, 2), &reply);
                 rig.now += Duration::from_millis(300);
                 rig.spill.heard(rig.now, host(1, 2), &reply);
@@ -1024,62 +1057,63 @@
             expected: Some((600, 300)),
         },
         Case {
-            name: "after a stall of two seconds",
-            hear: |rig, asked| {
+            name: "after 2.1 seconds",
+            deliver: |rig, queries| {
                 rig.now += Duration::from_millis(2100);
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&asked[1], "b", 600));
+                    .heard(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
             },
             expected: None,
         },
         Case {
-            name: "unasked",
-            hear: |rig, asked| {
-                let stray = ZoneLoadReport {
-                    sequence: asked[1].sequence + 1,
-                    ..reply_to(&asked[1], "b", 600)
+            name: "without a query",
+            deliver: |rig, queries| {
+                let unmatched = ZoneLoadReport {
+                    sequence: queries[1].sequence + 1,
+                    ..reply_to(&queries[1], "b", 600)
                 };
-                rig.spill.heard(rig.now, host(1, 2), &stray);
+                rig.spill.heard(rig.now, host(1, 2), &unmatched);
             },
             expected: None,
         },
         Case {
             name: "from the own zone",
-            hear: |rig, asked| {
+            deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(0, 2), &reply_to(&asked[1], ZONE, 600));
+                    .heard(rig.now, host(0, 2), &reply_to(&queries[1], ZONE, 600));
             },
             expected: None,
         },
         Case {
-            name: "of a zone without a name",
-            hear: |rig, asked| {
+            name: "from a zone without a name",
+            deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(0, 2), &reply_to(&asked[1], "", 600));
+                    .heard(rig.now, host(0, 2), &reply_to(&queries[1], "", 600));
             },
             expected: None,
         },
     ];
     for case in cases {
-        let mut rig = SpillRig::new(local_at(1300));
+        let mut rig = SpillRig::new(local_load(1300));
         rig.is_aggregator = true;
         let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1)]);
-        let first = rig.ask(&peers);
+        let first = rig.due_query(&peers);
         rig.now += Duration::from_millis(500);
-        let asked = [first, rig.ask(&peers)];
-        (case.hear)(&mut rig, &asked);
+        let queries = [first, rig.due_query(&peers)];
+        (case.deliver)(&mut rig, &queries);
         let entries = entries_of(&rig);
-        let told = entries
+        let reported = entries
             .first()
             .map(|entry| (entry.services[0].pressure, entry.age.as_millis() as u64));
-        assert_eq!(told, case.expected, "{}", case.name);
+        assert_eq!(reported, case.expected, "{}", case.name);
     }
 }
 
 #[test]
-fn test_restarted_host_of_another_zone_is_heard_again() {
-    // Guards against reports that are ignored because the sender's process counts from one again.
-    let mut rig = settled_aggregator();
+fn test_reports_of_a_restarted_remote_host_are_accepted() {
+    // Guards against reports that are ignored permanently because the sender's sequence starts at 1
+    // again after a restart.
+    let mut rig = spilling_aggregator();
     let unasked = |sequence, pressure| ZoneLoadReport {
         zone: "b".into(),
         sequence,
@@ -1088,7 +1122,7 @@
     };
     assert!(rig.spill.heard(rig.now, host(1, 7), &unasked(900, 600)));
     for sequence in 1..=25 {
-        rig.now += LOOK;
+        rig.now += TICK_INTERVAL;
         rig.spill
             .heard(rig.now, host(1, 7), &unasked(sequence, 700));
         rig.tick();
@@ -1097,118 +1131,128 @@
 }
 
 #[test]
-fn test_aggregator_that_changes() {
-    // Guards against shares that break off, or reports that become young again, when an aggregator dies.
-    let mut before = settled_aggregator();
-    let mut after = SpillRig::new(local_at(1300));
-    after.now = before.now;
-    for _look in 0..40 {
-        exchange(&mut before, 1, |rig, asked| {
+fn test_change_of_aggregator_keeps_shares() {
+    // Guards against shares that drop to zero, and against ages of reports that start at zero
+    // again, when an aggregator fails and another host takes over.
+    let mut previous = spilling_aggregator();
+    let mut next = SpillRig::new(local_load(1300));
+    next.now = previous.now;
+    for _tick in 0..40 {
+        exchange_reports(&mut previous, 1, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 2), &reply_to(asked, "b", 500));
+                .heard(rig.now, host(1, 2), &reply_to(query, "b", 500));
         });
-        after.now = before.now;
-        after.digest(&entries_of(&before));
-        after.tick();
+        next.now = previous.now;
+        next.digest(&entries_of(&previous));
+        next.tick();
     }
-    let share = after.share("b");
-    assert_eq!(share, before.share("b"), "both hosts decide alike");
-    let age = entries_of(&before)[0].age;
-    after.is_aggregator = true;
-    after.pass_deaf(1000);
-    assert_eq!(after.share("b"), share);
-    assert_eq!(entries_of(&after)[0].age, age + Duration::from_secs(1));
-    let peers = peers_of(after.now, host(0, 9), ZONE, &[("b", 1)]);
-    let asked = after.ask(&peers);
-    after
-        .spill
-        .heard(after.now, host(1, 3), &reply_to(&asked, "b", 500));
-    after.pass_deaf(1900);
-    assert_eq!(after.share("b"), share, "its own answers");
-    after.pass_deaf(300);
-    assert_eq!(after.share("b"), 0, "no answer for two seconds");
+    let share = next.share("b");
+    assert_eq!(
+        share,
+        previous.share("b"),
+        "both hosts compute the same share"
+    );
+    let age = entries_of(&previous)[0].age;
+    next.is_aggregator = true;
+    next.pass_without_digests(1000);
+    assert_eq!(next.share("b"), share);
+    assert_eq!(entries_of(&next)[0].age, age + Duration::from_secs(1));
+    let peers = peers_of(next.now, host(0, 9), ZONE, &[("b", 1)]);
+    let query = next.due_query(&peers);
+    next.spill
+        .heard(next.now, host(1, 3), &reply_to(&query, "b", 500));
+    next.pass_without_digests(1900);
+    assert_eq!(next.share("b"), share, "replies to its own queries");
+    next.pass_without_digests(300);
+    assert_eq!(next.share("b"), 0, "no reply for two seconds");
 }
 
 #[test]
-fn test_zone_cut_in_two_halves() {
-    // Guards against a half that goes on with reports that it cannot renew, and one that stops though it can.
-    let mut reaching = settled_aggregator();
-    let mut cut_off = settled_aggregator();
-    let share = reaching.share("b");
+fn test_half_of_a_zone_without_replies_ends_spill() {
+    // Guards against a half of a partitioned zone that spills flows by reports that it cannot
+    // renew, and against one that stops spilling although it still gets replies.
+    let mut connected = spilling_aggregator();
+    let mut disconnected = spilling_aggregator();
+    let share = connected.share("b");
     for round in 0..6 {
-        exchange(&mut reaching, 1, |rig, asked| {
+        exchange_reports(&mut connected, 1, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 2), &reply_to(asked, "b", 500));
+                .heard(rig.now, host(1, 2), &reply_to(query, "b", 500));
         });
-        exchange(&mut cut_off, 1, |_rig, _asked| {});
-        assert_eq!(reaching.share("b"), share, "round {round}");
+        exchange_reports(&mut disconnected, 1, |_rig, _query| {});
+        assert_eq!(connected.share("b"), share, "round {round}");
         let expected = if round < 3 { share } else { 0 };
-        assert_eq!(cut_off.share("b"), expected, "round {round}");
+        assert_eq!(disconnected.share("b"), expected, "round {round}");
     }
 }
 
 #[test]
 fn test_digests_of_two_aggregators() {
-    // Guards against shares that follow now one half of the reports and now the other.
-    let told = |pressure| [zone_entry("b", pressure)];
-    let mut rig = SpillRig::new(local_at(1300));
-    let (many, few) = (host(0, 1), host(0, 2));
+    // Guards against shares that alternate between the digests of two aggregators.
+    let entries = |pressure| [zone_entry("b", pressure)];
+    let mut rig = SpillRig::new(local_load(1300));
+    let (more_reporters, fewer_reporters) = (host(0, 1), host(0, 2));
     for sequence in 1..40 {
-        rig.now += LOOK;
+        rig.now += TICK_INTERVAL;
         rig.spill
-            .handle_digest(rig.now, many, sequence, 6, &told(500));
+            .handle_digest(rig.now, more_reporters, sequence, 6, &entries(500));
         rig.spill
-            .handle_digest(rig.now, few, sequence, 2, &told(1300));
+            .handle_digest(rig.now, fewer_reporters, sequence, 2, &entries(1300));
         rig.tick();
     }
     let share = rig.share("b");
     assert!(share > 100);
-    rig.spill.handle_digest(rig.now, many, 12, 6, &told(1300));
-    rig.pass_deaf(500);
-    assert_eq!(rig.share("b"), share, "an older digest");
+    rig.spill
+        .handle_digest(rig.now, more_reporters, 12, 6, &entries(1300));
+    rig.pass_without_digests(500);
+    assert_eq!(rig.share("b"), share, "an older digest is ignored");
     for sequence in 40..100 {
-        rig.now += LOOK;
+        rig.now += TICK_INTERVAL;
         rig.spill
-            .handle_digest(rig.now, few, sequence, 2, &told(1300));
+            .handle_digest(rig.now, fewer_reporters, sequence, 2, &entries(1300));
         rig.tick();
     }
-    assert_eq!(rig.share("b"), 0, "the other aggregator is gone");
+    assert_eq!(
+        rig.share("b"),
+        0,
+        "the digests of the other aggregator have ended"
+    );
 }
 
 #[test]
-fn test_host_that_was_frozen_lets_no_flow_leave() {
-    // Guards against shares from before a stall.
-    let mut rig = SpillRig::new(local_at(1300));
-    rig.pass(5000, &[zone_entry("b", 500)]);
+fn test_reset_after_a_stall_ends_spill() {
+    // Guards against spilling after a stall by shares from before it.
+    let mut rig = SpillRig::new(local_load(1300));
+    rig.pass_with_digests(5000, &[zone_entry("b", 500)]);
     rig.spill.reset();
-    assert_eq!(rig.sum(), 0);
-    rig.pass_deaf(1000);
-    assert_eq!(rig.sum(), 0);
+    assert_eq!(rig.total_share(), 0);
+    rig.pass_without_digests(1000);
+    assert_eq!(rig.total_share(), 0);
 }
 
 #[test]
-fn test_absurd_reports_are_rejected_whole() {
-    // Guards against one faulty host that moves the flows of other zones.
+fn test_invalid_reports_are_rejected_whole() {
+    // Guards against one faulty host whose reports shift the flows of other zones.
     struct Case {
         name: &'static str,
         change: fn(&mut ZoneLoadReport),
         valid: bool,
     }
-    let most = MAX_REQUESTS as u32 * 1000;
-    assert_eq!(most, 65_535_000);
+    let max_in_progress = MAX_REQUESTS as u32 * 1000;
+    assert_eq!(max_in_progress, 65_535_000);
     let cases = [
         Case {
-            name: "as many requests as are valid",
+            name: "the maximum number of requests",
             change: |report| report.services[0].in_progress = 65_535_000,
             valid: true,
         },
         Case {
-            name: "one more",
+            name: "a thousandth of a request above the maximum",
             change: |report| report.services[0].in_progress = 65_535_001,
             valid: false,
         },
         Case {
-            name: "too many over two services",
+            name: "above the maximum in two services together",
             change: |report| {
                 report.services[0].in_progress = 40_000_000;
                 let second = ZoneServiceLoad {
@@ -1220,7 +1264,7 @@
             valid: false,
         },
         Case {
-            name: "too many in other zones",
+            name: "above the maximum in other zones",
             change: |report| {
                 report.services[0].visits = vec![SpilledRequests {
                     zone: "c".into(),
@@ -1230,12 +1274,12 @@
             valid: false,
         },
         Case {
-            name: "an absurd pressure",
+            name: "a pressure above the maximum",
             change: |report| report.services[0].pressure = u32::MAX,
             valid: false,
         },
         Case {
-            name: "a service twice",
+            name: "a duplicate service",
             change: |report| report.services.push(service_load(300)),
             valid: false,
         },
@@ -1246,27 +1290,27 @@
         },
     ];
     for case in cases {
-        let mut rig = SpillRig::new(local_at(1300));
+        let mut rig = SpillRig::new(local_load(1300));
         rig.is_aggregator = true;
         let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1)]);
-        let asked = rig.ask(&peers);
+        let query = rig.due_query(&peers);
         let mut report = ZoneLoadReport {
             wants_reply: true,
-            ..reply_to(&asked, "b", 500)
+            ..reply_to(&query, "b", 500)
         };
         (case.change)(&mut report);
-        let is_answered = rig.spill.heard(rig.now, host(1, 2), &report);
+        let is_replied_to = rig.spill.heard(rig.now, host(1, 2), &report);
         rig.tick();
-        assert_eq!(is_answered, case.valid, "{}", case.name);
+        assert_eq!(is_replied_to, case.valid, "{}", case.name);
         assert_eq!(!entries_of(&rig).is_empty(), case.valid, "{}", case.name);
         assert_eq!(rig.rejections(), usize::from(!case.valid), "{}", case.name);
-        let mut told = zone_entry("b", 500);
-        told.services[0].sent = told.services[0].in_progress + 1;
-        rig.digest(&[told]);
+        let mut entry = zone_entry("b", 500);
+        entry.services[0].sent = entry.services[0].in_progress + 1;
+        rig.digest(&[entry]);
         rig.tick();
-        let mut told = zone_entry("b", 500);
-        told.services[0].away = u32::MAX;
-        rig.digest(&[told]);
+        let mut entry = zone_entry("b", 500);
+        entry.services[0].away = u32::MAX;
+        rig.digest(&[entry]);
         rig.tick();
         assert_eq!(
             rig.rejections(),
@@ -1278,8 +1322,9 @@
 }
 
 #[test]
-fn test_host_answers_the_sender_also_in_calm() {
-    // Guards against zones with room that nobody knows of, because hosts report only while contended.
+fn test_uncontended_host_replies_to_queries() {
+    // Guards against zones whose free capacity stays unknown because hosts send reports only while
+    // the service is contended.
     let mut rig = CoreRig::with_entries(vec![
         entry(1, "ledger"),
         entry(2, "ledger"),
@@ -1288,36 +1333,36 @@
     for flow in 0..3 {
         rig.open(flow, 0);
     }
-    let asked = ZoneLoadReport {
+    let query = ZoneLoadReport {
         zone: "b".into(),
         sequence: 41,
         wants_reply: true,
         services: vec![service_load(1300)],
     };
     let sender = host(1, 2);
-    let answer = rig.core.handle_zone_load(rig.now, sender, &asked);
-    let answer = answer.expect("an answer");
-    assert_eq!(answer.targets, [sender]);
-    let PeerDatagram::ZoneLoad(report) = answer.datagram else {
+    let own_reply = rig.core.handle_zone_load(rig.now, sender, &query);
+    let own_reply = own_reply.expect("a reply");
+    assert_eq!(own_reply.targets, [sender]);
+    let PeerDatagram::ZoneLoad(report) = own_reply.datagram else {
         panic!("not a zone's load");
     };
     assert_eq!((report.zone.as_str(), report.sequence), (ZONE, 41));
     assert!(!report.wants_reply);
-    assert_eq!(report.services.len(), 1, "what was asked for");
+    assert_eq!(report.services.len(), 1, "only the services of the query");
     let load = &report.services[0];
-    assert_eq!((load.service, load.slots), (tag_of_ledger(), 4));
+    assert_eq!((load.service, load.slots), (ledger_tag(), 4));
     assert!(load.in_progress >= 3000, "{load:?}");
     assert_eq!(load.pressure, load.in_progress / 4);
     assert!(!load.is_contended);
     let reply = ZoneLoadReport {
         wants_reply: false,
-        ..asked
+        ..query
     };
     assert_eq!(rig.core.handle_zone_load(rig.now, sender, &reply), None);
 }
 
 #[test]
-fn test_core_sends_nothing_in_calm_and_reports_absurd_counts() {
+fn test_uncontended_core_sends_no_queries_and_reports_invalid_counts() {
     let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
     rig.core
         .heard(rig.now, host(1, 2), heartbeat("b", 500, true), false);
@@ -1349,8 +1394,9 @@
 }
 
 #[test]
-fn test_bytes_between_zones() {
-    // Guards against reports that take a small host's link, or do not fit into a datagram.
+fn test_zone_report_and_digest_sizes() {
+    // Guards against reports that use too much of a small host's link, or that do not fit into a
+    // datagram.
     let with_services = |count: u32, zones: &[&str]| ZoneLoadReport {
         zone: "zone-1".into(),
         sequence: 100_000,
@@ -1378,7 +1424,7 @@
     let usual = length(with_services(5, &["zone-2", "zone-3"]));
     // Two reports a second to two hosts of each of two other zones.
     let rate = usual * 2 * 2 * 2;
-    println!("report of 5 services: {usual} bytes; {rate} bytes a second sent");
+    println!("report of 5 services: {usual} bytes; {rate} bytes/s sent");
     assert!(
         rate < 5000,
         "a fifth of the 25 KB/s of a host's control traffic"
@@ -1388,7 +1434,7 @@
     let mut pressures = truncated_to_fit.services.iter().map(|load| load.pressure);
     assert!(
         pressures.all(|pressure| pressure > 1200),
-        "the most loaded stay"
+        "the most loaded services are kept"
     );
     assert!(length(truncated_to_fit) <= MAX_DATAGRAM_BYTES);
 
@@ -1418,7 +1464,10 @@
     );
     let added = added(MAX_DIGEST_LOADS / 3);
     println!("zones in a digest: at most {added} bytes of {MAX_DATAGRAM_BYTES}");
-    assert!(added <= MAX_DATAGRAM_BYTES / 2, "half stays for upstreams");
+    assert!(
+        added <= MAX_DATAGRAM_BYTES / 2,
+        "half of the digest remains for upstreams"
+    );
 }
 
 fn arbitrary_report() -> impl Strategy<Value = ZoneLoadReport> {
@@ -1435,7 +1484,7 @@
     let loads = prop::collection::vec(load, 0..4);
     (zones(), 0u64..6, any::<bool>(), loads).prop_map(|(zone, sequence, wants_reply, loads)| {
         let services = loads.into_iter().map(|load| ZoneServiceLoad {
-            service: tag_of_ledger() ^ load.0,
+            service: ledger_tag() ^ load.0,
             slots: load.1,
             in_progress: load.2 >> 8,
             pressure: load.3 >> 8,
@@ -1458,19 +1507,19 @@
     })
 }
 
-/// What one look of a host finds.
+/// Load and state of the zones at one tick.
 #[derive(Clone, Debug)]
-struct LookCase {
+struct TickCase {
     pressure: u32,
     contended: bool,
     sent: u32,
-    /// Pressure, age in milliseconds, and slots of zones b and c.
+    /// Pressure in thousandths, age in milliseconds, and slots of zones b and c.
     zones: [(u32, u64, u32); 2],
     evacuated: [bool; 2],
     responding: [bool; 2],
 }
 
-fn look_case() -> impl Strategy<Value = LookCase> {
+fn tick_case() -> impl Strategy<Value = TickCase> {
     let zone = || {
         (
             0u32..3000,
@@ -1488,7 +1537,7 @@
         flags(),
     )
         .prop_map(
-            |(pressure, contended, sent, zones, evacuated, silent)| LookCase {
+            |(pressure, contended, sent, zones, evacuated, silent)| TickCase {
                 pressure,
                 contended,
                 sent,
@@ -1501,27 +1550,30 @@
 
 proptest! {
     #[test]
-    fn test_bounds_of_shares(looks in prop::collection::vec(look_case(), 1..60)) {
-        // Guards against shares beyond their bounds, whatever zones report and in whatever order.
-        let mut rig = SpillRig::new(local_at(1300));
+    fn test_shares_stay_within_bounds(ticks in prop::collection::vec(tick_case(), 1..60)) {
+        // Guards against shares outside their limits for any sequence of reports.
+        let mut rig = SpillRig::new(local_load(1300));
         let mut sums = vec![0u32; 1];
-        for look in looks {
-            rig.now += LOOK;
-            rig.local = LocalLoad { is_contended: look.contended, ..local_at(look.pressure) };
+        for tick_case in ticks {
+            rig.now += TICK_INTERVAL;
+            rig.local = LocalLoad {
+                is_contended: tick_case.contended,
+                ..local_load(tick_case.pressure)
+            };
             rig.evacuated.clear();
             rig.local.responding.clear();
             let mut entries = Vec::new();
-            for (place, zone) in ["b", "c"].into_iter().enumerate() {
-                let (pressure, age, slots) = look.zones[place];
+            for (index, zone) in ["b", "c"].into_iter().enumerate() {
+                let (pressure, age, slots) = tick_case.zones[index];
                 let mut entry = zone_entry(zone, pressure);
                 entry.age = Duration::from_millis(age);
                 entry.services[0].slots = slots;
-                entry.services[0].sent = look.sent.min(entry.services[0].in_progress);
+                entry.services[0].sent = tick_case.sent.min(entry.services[0].in_progress);
                 entries.push(entry);
-                if look.evacuated[place] {
+                if tick_case.evacuated[index] {
                     rig.evacuate(zone);
                 }
-                if look.responding[place] {
+                if tick_case.responding[index] {
                     rig.local.responding.push(zone.into());
                 }
             }
@@ -1530,13 +1582,13 @@
             let shares = rig.spill.shares(0);
             let sum: u32 = shares.iter().map(|share| share.share).sum();
             prop_assert!(sum <= FULL_SHARE / 2);
-            // Three looks cover 200 ms, in which at most one step is made.
+            // Three ticks cover 200 ms, in which shares change by at most one step.
             let before = sums[sums.len().saturating_sub(2)..].iter().max().copied();
             prop_assert!(sum <= before.unwrap_or(0) + FULL_SHARE / 20, "{sums:?}, {sum}");
             sums.push(sum);
-            for (place, zone) in ["b", "c"].into_iter().enumerate() {
-                let (_pressure, age, slots) = look.zones[place];
-                let is_excluded = look.evacuated[place] || !look.responding[place];
+            for (index, zone) in ["b", "c"].into_iter().enumerate() {
+                let (_pressure, age, slots) = tick_case.zones[index];
+                let is_excluded = tick_case.evacuated[index] || !tick_case.responding[index];
                 if is_excluded || age > 2000 || slots == 0 {
                     prop_assert_eq!(rig.share(zone), 0);
                 }
@@ -1548,31 +1600,31 @@
     fn test_arbitrary_reports_do_not_panic(
         reports in prop::collection::vec((arbitrary_report(), any::<u8>(), 0u64..900), 0..40),
     ) {
-        // Guards against a host that is stopped by what another one sends.
-        let mut rig = SpillRig::new(local_at(1300));
+        // Guards against a report that crashes the host that receives it.
+        let mut rig = SpillRig::new(local_load(1300));
         rig.is_aggregator = true;
         let peers = peers_of(rig.now, host(0, 9), ZONE, &[("b", 1)]);
         let mut core = CoreRig::with_ledger(&[1, 2]);
         for (report, from, millis) in reports {
             rig.now += Duration::from_millis(millis);
-            rig.due(&peers);
+            rig.due_datagrams(&peers);
             rig.spill.heard(rig.now, host(1, from % 8), &report);
             rig.tick();
             let entries = entries_of(&rig);
             prop_assert!(entries.len() <= MAX_DIGEST_LOADS);
             rig.digest(&entries);
-            prop_assert!(rig.sum() <= 500);
+            prop_assert!(rig.total_share() <= 500);
             core.core.handle_zone_load(core.now, host(1, from % 8), &report);
         }
     }
 
     #[test]
     fn test_arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        // Guards against a host that is stopped by a datagram that is not of a peer.
+        // Guards against a malformed datagram that crashes the host that receives it.
         let mut datagram = vec![7, 5];
         datagram.extend(bytes);
         if let Ok(PeerDatagram::ZoneLoad(report)) = PeerDatagram::decode(&datagram) {
-            let mut rig = SpillRig::new(local_at(1300));
+            let mut rig = SpillRig::new(local_load(1300));
             rig.spill.heard(rig.now, host(1, 2), &report);
             rig.tick();
         }
--- a/packetd/src/event_log.rs
+++ b/packetd/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Turns the core's events into log lines and counts.
+//! Writes the core's events to logs and metrics.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 
 use crate::host_metrics::HostMetrics;
 
-/// Logs and counts what the core decided; `request` is the id in the packet at hand, if it has one.
+/// Logs and counts the core's events. `request` is the id of the request in the packet that caused
+/// them, if it has one.
 pub fn log_events(events: &[DecisionEvent], request: Option<&str>, metrics: &HostMetrics) {
     let request = request.unwrap_or_default();
     for event in events {
@@ -94,7 +95,7 @@
         DecisionEvent::LoadRejected { peer } => {
             let code = ResultCode::LoadReportInvalid;
             metrics.count_result(code);
-            metrics.rejected_load.inc();
+            metrics.rejected_load_reports.inc();
             log::warn!(code = code.number(), peer:% = peer; "load report rejected");
         }
         DecisionEvent::Refused {
@@ -204,7 +205,7 @@
     }
 }
 
-/// Milliseconds for a log line; -1 if there is no such time.
+/// Converts a time to milliseconds for a log line; -1 stands for `None`.
 fn millis(duration: Option<Duration>) -> i64 {
     duration.map_or(-1, |duration| {
         i64::try_from(duration.as_millis()).unwrap_or(i64::MAX)
--- a/packetd/src/host_metrics.rs
+++ b/packetd/src/host_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and latencies of the packet path, in the text format of Prometheus.
+//! Metrics of the packet path, in the text format of Prometheus.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Instant;
@@ -16,58 +16,61 @@
 
 use crate::service_metrics::ServiceMetrics;
 
-/// Upper ends of the latency classes, in seconds: around the time of a request, the pause before
-/// a caller sends again (0.2 s), and callers' deadlines.
-const LATENCY_CLASSES: [f64; 12] = [
+/// Upper bounds of the histogram buckets in seconds. They cover the duration of a request, the time
+/// after which a caller retransmits (0.2 s), and callers' timeouts.
+const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.02, 0.04, 0.08, 0.12, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4,
 ];
 
-/// Labels of a counter by result.
+/// Labels of a counter by result code.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ResultLabels {
     code: u16,
+    /// Name of the code.
     reason: String,
 }
 
-/// The metrics of an entry host that forwards packets.
+/// The metrics of an entry host. Fields have the names under which they are exported.
 pub struct HostMetrics {
     registry: Registry,
     /// Packets received from callers.
     pub received: Counter,
-    /// Packets sent on to upstreams.
+    /// Packets forwarded to upstreams.
     pub forwarded: Counter,
-    /// Packets that the network would not take.
+    /// Packets and datagrams that the socket did not accept.
     pub unsent: Counter,
-    /// New flows placed, copies included.
+    /// SYNs placed, including retransmissions.
     pub placed: Counter,
-    /// Of them, those sent to two upstreams at once.
+    /// Of these, hedged SYNs, which were sent to two upstreams.
     pub hedged: Counter,
-    /// Of them, those whose upstream the dispatcher of their service selected.
+    /// Of these, SYNs whose upstream the dispatcher of their service selected.
     pub dispatched: Counter,
-    /// Copies of opening packets that were left to their callers' next ones.
+    /// SYNs that were dropped, so that their callers retransmit them.
     pub deferred: Counter,
-    /// Requests that callers sent again.
+    /// Requests that callers retransmitted.
     pub repeated: Counter,
-    /// From a request to the first acknowledgement after it, in seconds.
+    /// Time from a request to the caller's first acknowledgement of the response, in seconds.
     pub answer_seconds: Histogram,
-    /// Upstreams that were avoided for silence.
+    /// Ejections of upstreams that did not respond.
     pub avoided: Counter,
-    /// Upstreams that were avoided for failing their requests.
+    /// Ejections of upstreams whose requests failed.
     pub failing: Counter,
-    /// Published items that could not be used.
+    /// Published items that could not be decoded.
     pub unreadable: Counter,
-    /// Fields of routes and services that could not be used.
+    /// Missing or invalid fields of routes and services.
     pub invalid_fields: Counter,
-    /// Peers' reports on load that were invalid.
-    pub rejected_load: Counter,
+    /// Invalid load reports of peers.
+    pub rejected_load_reports: Counter,
     /// The metrics of services.
     pub services: ServiceMetrics,
-    /// Updates that are older than the state, or do not continue it.
+    /// State updates that were older than the state of this host, or did not continue it.
     pub rejected_updates: Counter,
+    /// Packets that were not forwarded, and faults of peers, by result code.
     results: Family<ResultLabels, Counter>,
+    /// Calls to the store, by result code.
     store_calls: Family<ResultLabels, Counter>,
-    version: Gauge<u64, AtomicU64>,
-    era: Gauge<u64, AtomicU64>,
+    routes_version: Gauge<u64, AtomicU64>,
+    store_era: Gauge<u64, AtomicU64>,
     through: Gauge<u64, AtomicU64>,
     flows: Gauge<u64, AtomicU64>,
     reads: Gauge<u64, AtomicU64>,
@@ -88,18 +91,18 @@
             dispatched: Counter::default(),
             deferred: Counter::default(),
             repeated: Counter::default(),
-            answer_seconds: Histogram::new(LATENCY_CLASSES),
+            answer_seconds: Histogram::new(LATENCY_BUCKETS),
             avoided: Counter::default(),
             failing: Counter::default(),
             unreadable: Counter::default(),
             invalid_fields: Counter::default(),
-            rejected_load: Counter::default(),
+            rejected_load_reports: Counter::default(),
             services: ServiceMetrics::default(),
             rejected_updates: Counter::default(),
             results: Family::default(),
             store_calls: Family::default(),
-            version: Gauge::default(),
-            era: Gauge::default(),
+            routes_version: Gauge::default(),
+            store_era: Gauge::default(),
             through: Gauge::default(),
             flows: Gauge::default(),
             reads: Gauge::default(),
@@ -113,6 +116,7 @@
 }
 
 impl HostMetrics {
+    /// Registers the metrics under their exported names.
     fn register(&mut self) {
         let registry = &mut self.registry;
         let counters = [
@@ -147,7 +151,7 @@
             (
                 "rejected_load_reports",
                 "Reports on load that held counts that cannot be",
-                &self.rejected_load,
+                &self.rejected_load_reports,
             ),
             (
                 "rejected_updates",
@@ -166,11 +170,11 @@
             registry.register(name, help, family.clone());
         }
         let gauges = [
-            ("routes_version", "Routes in force", &self.version),
+            ("routes_version", "Routes in force", &self.routes_version),
             (
                 "store_era",
                 "How often the store has come back from a copy",
-                &self.era,
+                &self.store_era,
             ),
             (
                 "through",
@@ -206,22 +210,23 @@
         );
     }
 
-    /// Counts a packet that was not forwarded.
+    /// Counts a packet that was not forwarded, or a fault of a peer, by its result code.
     pub fn count_result(&self, code: ResultCode) {
         self.results.get_or_create(&result_labels(code)).inc();
     }
 
-    /// Counts a call of the store.
+    /// Counts a call to the store by its result code.
     pub fn count_store_call(&self, code: ResultCode) {
         self.store_calls.get_or_create(&result_labels(code)).inc();
     }
 
-    /// Every metric as text.
+    /// Sets the gauges to the state of the core, and returns all metrics as text.
     pub fn text(&self, core: &PacketCore, now: Instant) -> String {
         let routes = core.view().routes();
-        self.version.set(routes.map_or(0, |routes| routes.version));
+        self.routes_version
+            .set(routes.map_or(0, |routes| routes.version));
         let through = core.view().through();
-        self.era.set(through.era);
+        self.store_era.set(through.era);
         self.through.set(through.revision);
         self.reads.set(u64::from(core.reads()));
         self.peers.set(core.peers().alive_hosts(now) as u64);
--- a/packetd/src/host_process.rs
+++ b/packetd/src/host_process.rs
@@ -1,4 +1,4 @@
-//! Runs an entry host from start to stop.
+//! The life cycle of an entry host: starts its tasks, and stops it gracefully.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -13,9 +13,9 @@
 use tokio::signal::unix::Signal;
 use tokio::task::spawn_local;
 
-use crate::freeze_watch::FreezeWatch;
+use crate::graceful_stop::wait_until_idle;
 use crate::host_state::HostState;
-use crate::log_lines::LogLines;
+use crate::log_writer::LogWriter;
 use crate::packet_socket::forward_packets;
 use crate::packet_socket::resume_packets;
 use crate::packet_socket::send_reset;
@@ -23,25 +23,26 @@
 use crate::process_signals::ProcessSignals;
 use crate::settings_file::SettingsFile;
 use crate::settings_file::exit_code;
-use crate::stop_wait::wait_for_silence;
 use crate::store_reader::read_store;
+use crate::suspend_detector::SuspendDetector;
 use crate::web_server;
 
-/// How often time is told to the core and logs are written.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of the core's ticks and of log writes.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often the settings file is read in case that it has changed without a signal.
-const SETTINGS_PAUSE: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for a change without SIGHUP.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Port of the metrics, on the host's own address.
+/// Port of the metrics endpoint, on the IP address for peers.
 const METRICS_PORT: u16 = 9180;
 
-/// Runs the host until it is asked to stop.
+/// Runs the host until it receives a stop signal. Returns the exit code: a failure if the settings
+/// are invalid, or if the packet address or the readiness address cannot be bound.
 pub async fn run(
     path: &Path,
     policy: PolicyConfig,
     signals: ProcessSignals,
-    logs: LogLines,
+    logs: LogWriter,
 ) -> ExitCode {
     let Some((file, settings)) = SettingsFile::open(path).await else {
         return exit_code(ResultCode::SettingsInvalid);
@@ -69,22 +70,23 @@
     if let Some(listener) = web_server::listen(metrics_address).await {
         spawn_local(web_server::serve(state.clone(), listener));
     }
-    spawn_local(keep_time(state.clone(), socket.clone(), logs));
-    spawn_local(follow_settings(state.clone(), file, signals.hangup));
+    spawn_local(run_ticks(state.clone(), socket.clone(), logs));
+    spawn_local(watch_settings(state.clone(), file, signals.hangup));
     signals.stop.received().await;
     state.stopping.set(true);
-    log::info!("stop asked for; no longer ready");
-    wait_for_silence(state.clone()).await;
+    log::info!("stop requested, no longer ready");
+    wait_until_idle(state.clone()).await;
     log::info!("stop");
     ExitCode::SUCCESS
 }
 
-async fn keep_time(state: Rc<HostState>, socket: Rc<UdpSocket>, logs: LogLines) {
-    let mut freeze = FreezeWatch::new();
+/// Ticks the core, sends the resulting resets, and writes logs.
+async fn run_ticks(state: Rc<HostState>, socket: Rc<UdpSocket>, logs: LogWriter) {
+    let mut detector = SuspendDetector::new();
     loop {
-        tokio::time::sleep(TICK).await;
-        if let Some(lost) = freeze.stood_still() {
-            log::warn!(lost_ms = lost.as_millis() as u64; "the machine stood still");
+        tokio::time::sleep(TICK_INTERVAL).await;
+        if let Some(suspended) = detector.suspended_time() {
+            log::warn!(lost_ms = suspended.as_millis() as u64; "machine was suspended");
             state.core.borrow_mut().handle_stall(Instant::now());
         }
         if state.core.borrow().has_dispatch_datagrams() {
@@ -97,14 +99,14 @@
     }
 }
 
-/// Reloads the settings on SIGHUP, and when the file changes without it.
-async fn follow_settings(state: Rc<HostState>, mut file: SettingsFile, mut hangup: Signal) {
+/// Reloads the settings on SIGHUP, and when the file has changed without it.
+async fn watch_settings(state: Rc<HostState>, mut file: SettingsFile, mut hangup: Signal) {
     loop {
         tokio::select! {
             _ = hangup.recv() => log::info!("SIGHUP"),
-            () = tokio::time::sleep(SETTINGS_PAUSE) => {}
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
         }
-        if let Some(settings) = file.changed() {
+        if let Some(settings) = file.read_if_changed() {
             state.reload(settings);
         }
     }
--- a/packetd/src/host_state.rs
+++ b/packetd/src/host_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the process share; all run on one thread.
+//! The state shared by the tasks of the process, which all run on one thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,38 +18,39 @@
 use crate::host_metrics::HostMetrics;
 use crate::parked_packets::ParkedPackets;
 
-/// What the tasks share. No borrow is held over a wait.
+/// The state shared by the tasks. No borrow of a field is held across an await point.
 pub struct HostState {
-    /// The decisions.
+    /// The core, which makes the decisions.
     pub core: RefCell<PacketCore>,
-    /// Counters.
+    /// The metrics.
     pub metrics: HostMetrics,
     /// The settings in force.
     pub settings: RefCell<Rc<HostSettings>>,
-    /// The process was asked to stop.
+    /// Whether the process has received a stop signal.
     pub stopping: Cell<bool>,
-    /// The last call of the store failed.
+    /// Whether the last call to the store failed.
     pub store_lost: Cell<bool>,
-    /// A peer is being asked for state.
-    pub asking: Cell<bool>,
-    /// When the last packet came.
+    /// Whether a request for a peer's state is in progress.
+    pub state_requested: Cell<bool>,
+    /// Time of the last packet.
     pub last_packet: Cell<Instant>,
-    /// Wakes who waits for the first whole state.
+    /// Notified when the host has its first complete state.
     pub became_ready: Notify,
-    /// What was read from the store and is to be passed on to the hosts of the zone.
+    /// New state updates to forward to the hosts of the zone.
     pub to_forward: RefCell<Vec<StateUpdate>>,
-    /// Wakes who passes it on.
-    pub read_something: Notify,
-    /// SYNs that wait for the reply of a dispatcher.
+    /// Notified when there is an update to forward.
+    pub forward_due: Notify,
+    /// SYNs that wait for a dispatcher's reply.
     pub parked: ParkedPackets,
-    /// Wakes who sends queries and events to dispatchers.
+    /// Notified when there are dispatch messages to send.
     pub dispatch_due: Notify,
-    /// Wakes who asks peers for state: a host without one has heard of a peer.
-    pub heard_peer: Notify,
+    /// Notified when state may be requested from a peer: a host without state has found a peer, or
+    /// a former request has ended.
+    pub state_request_due: Notify,
 }
 
 impl HostState {
-    /// The state of a process that has just started.
+    /// Creates the state of a process at its start.
     pub fn new(settings: HostSettings, policy: PolicyConfig) -> Self {
         Self {
             core: RefCell::new(PacketCore::new(&settings, policy)),
@@ -57,23 +58,23 @@
             settings: RefCell::new(Rc::new(settings)),
             stopping: Cell::new(false),
             store_lost: Cell::new(false),
-            asking: Cell::new(false),
+            state_requested: Cell::new(false),
             last_packet: Cell::new(Instant::now()),
             became_ready: Notify::new(),
             to_forward: RefCell::new(Vec::new()),
-            read_something: Notify::new(),
+            forward_due: Notify::new(),
             parked: ParkedPackets::default(),
             dispatch_due: Notify::new(),
-            heard_peer: Notify::new(),
+            state_request_due: Notify::new(),
         }
     }
 
-    /// Whether the fabric should send packets here.
+    /// Whether the host is ready to receive packets: it has a complete state and is not stopping.
     pub fn is_ready(&self) -> bool {
         !self.stopping.get() && self.core.borrow().is_ready()
     }
 
-    /// The state for operators.
+    /// Returns the status for operators.
     pub fn status(&self) -> PacketStatus {
         let settings = self.settings.borrow();
         PacketStatus {
@@ -85,19 +86,20 @@
         }
     }
 
-    /// Merges an update, and forwards it to the hosts of the zone if it was new; true if it was.
+    /// Merges an update, and forwards it to the hosts of the zone if it was new. Returns whether it
+    /// was.
     pub fn merge_and_forward(&self, update: StateUpdate) -> bool {
         let before = self.core.borrow().view().query();
         let is_new = self.merge(&update);
         if is_new {
             let update = self.core.borrow().forwarded_update(update, &before);
             self.to_forward.borrow_mut().push(update);
-            self.read_something.notify_one();
+            self.forward_due.notify_one();
         }
         is_new
     }
 
-    /// Merges an update; true if it was new.
+    /// Merges an update. Returns whether it was new.
     pub fn merge(&self, update: &StateUpdate) -> bool {
         let mut output = PacketOutput::default();
         let mut core = self.core.borrow_mut();
@@ -111,7 +113,7 @@
         is_new
     }
 
-    /// Puts changed settings in force.
+    /// Applies new settings; does nothing if they are unchanged.
     pub fn reload(&self, settings: HostSettings) {
         if settings == **self.settings.borrow() {
             return;
@@ -121,7 +123,7 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// Lets time pass; returns the flows to be ended.
+    /// Runs the periodic work of the core. Returns the flows to reset.
     pub fn tick(&self) -> Vec<FlowReset> {
         let mut output = PacketOutput::default();
         let mut core = self.core.borrow_mut();
--- a/packetd/src/line_layout.rs
+++ b/packetd/src/json_layout.rs
@@ -1,8 +1,9 @@
-//! The form of a log line: one flat JSON object.
+//! Formats log records as flat JSON objects, one per line.
 //!
-//! logforth's own JSON layout asks for the machine's time zone at the start and walks its folder of
-//! time zones for that: about 1 ms of processor time, which is 20 ms in which callers wait on a host
-//! with a twentieth of a core, and 0.2 MB. Here time is milliseconds since 1970.
+//! logforth's own JSON layout determines the time zone of the machine at the start, for which it
+//! scans the time zone directory. That takes 0.2 MB and about 1 ms of CPU time, which delays
+//! callers by 20 ms on a host with a twentieth of a core. This layout writes times in milliseconds
+//! since 1970.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
@@ -16,10 +17,11 @@
 use logforth::record::Record;
 use serde_json::Map;
 
-/// Writes records as flat JSON objects.
+/// Formats records as flat JSON objects.
 #[derive(Debug)]
-pub struct LineLayout;
+pub struct JsonLayout;
 
+/// Adds the key-value pairs of a record to a JSON object.
 struct FieldCollector<'a> {
     fields: &'a mut Map<String, serde_json::Value>,
 }
@@ -32,7 +34,7 @@
     }
 }
 
-impl Layout for LineLayout {
+impl Layout for JsonLayout {
     fn format(
         &self,
         record: &Record,
@@ -46,7 +48,7 @@
             fields: &mut fields,
         })?;
         serde_json::to_vec(&fields)
-            .map_err(|error| Error::new(format!("a log line cannot be written: {error}")))
+            .map_err(|error| Error::new(format!("cannot encode a log line: {error}")))
     }
 }
 
--- a/packetd/src/main.rs
+++ b/packetd/src/main.rs
@@ -1,12 +1,12 @@
-//! `lagoon-packet`: the one program of an entry host that forwards packets.
+//! `lagoon-packet`: forwards callers' packets on an entry host.
 
 mod event_log;
-mod freeze_watch;
+mod graceful_stop;
 mod host_metrics;
 mod host_process;
 mod host_state;
-mod line_layout;
-mod log_lines;
+mod json_layout;
+mod log_writer;
 mod packet_socket;
 mod parked_packets;
 mod peer_socket;
@@ -15,8 +15,8 @@
 mod service_metrics;
 mod settings_file;
 mod state_transfer;
-mod stop_wait;
 mod store_reader;
+mod suspend_detector;
 mod web_server;
 
 use std::path::PathBuf;
@@ -35,13 +35,13 @@
 /// Forward callers' packets to the upstreams of their services.
 #[derive(FromArgs)]
 struct Arguments {
-    /// settings file; the platform's variable names it otherwise
+    /// settings file; default: $LAGOONPROXY_SETTINGS, or /etc/lagoonproxy/local.json
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// policy file in YAML; the defaults hold without one
+    /// policy file in YAML; default: built-in policy
     #[argh(option)]
     policy: Option<PathBuf>,
-    /// check the settings and the policy and say what they hold, without starting
+    /// validate the settings and the policy, print them and exit
     #[argh(switch)]
     check: bool,
 }
@@ -50,19 +50,20 @@
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("the runtime cannot start: {error}");
+            eprintln!("cannot start the runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
     LocalSet::new().block_on(&runtime, start())
 }
 
-/// Takes signals before anything else, for until then each of them ends the process.
+/// Parses the arguments and runs the host. Signal handlers are registered first, because until then
+/// each of the signals ends the process.
 async fn start() -> ExitCode {
     let signals = match ProcessSignals::new() {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("cannot wait for signals: {error}");
+            eprintln!("cannot register signal handlers: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -72,7 +73,7 @@
     if arguments.check {
         return settings_file::check(&path, &policy);
     }
-    let logs = log_lines::init();
+    let logs = log_writer::init();
     let code = match policy {
         Ok(policy) => host_process::run(&path, policy, signals, logs.clone()).await,
         Err(faults) => {
--- a/packetd/src/packet_socket.rs
+++ b/packetd/src/packet_socket.rs
@@ -1,4 +1,4 @@
-//! Reads callers' packets and carries out what the core decides about them.
+//! Receives callers' packets and executes the core's decisions on them.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -10,28 +10,29 @@
 use lagoonproxy_packet::packet_action::PacketAction;
 use lagoonproxy_packet::packet_action::PacketOutput;
 use lagoonproxy_packet::packet_head::PacketHead;
-use lagoonproxy_platform::packet_format::INTENDED_BYTES;
-use lagoonproxy_platform::packet_format::MOST_BYTES;
+use lagoonproxy_platform::packet_format::MAX_PACKET_BYTES;
+use lagoonproxy_platform::packet_format::UPSTREAM_NUMBER_BYTES;
 use lagoonproxy_platform::packet_format::decode_head;
 use lagoonproxy_platform::packet_format::request_id;
 use lagoonproxy_platform::packet_format::reset_packet;
-use lagoonproxy_platform::packet_format::write_intended;
 use lagoonproxy_platform::packet_format::write_tag;
+use lagoonproxy_platform::packet_format::write_upstream_number;
 use tokio::net::UdpSocket;
 
 use crate::event_log::log_events;
 use crate::host_state::HostState;
 
-/// Packets that are read before other tasks have a turn.
-const BATCH: usize = 64;
+/// Maximum number of packets that are handled before the task yields to others.
+const MAX_BATCH_PACKETS: usize = 64;
 
-/// Room for one packet, the number in front of it, and a byte more to notice longer ones.
-const BUFFER_BYTES: usize = INTENDED_BYTES + MOST_BYTES + 1;
+/// Size of the receive buffer in bytes: the upstream number, a packet, and one more byte, so that
+/// oversized packets are detected.
+const BUFFER_BYTES: usize = UPSTREAM_NUMBER_BYTES + MAX_PACKET_BYTES + 1;
 
-/// Forwards packets for as long as the process lives.
+/// Forwards packets. Returns only if the socket fails.
 ///
-/// Until the first whole state is there, packets wait in the socket: a caller's packet that waits
-/// some milliseconds is better off than one that has to be sent again after 200.
+/// Packets stay in the socket's buffer until the host has a complete state. Waiting there for some
+/// milliseconds delays a caller less than a retransmission, which takes 200 ms.
 pub async fn forward_packets(state: Rc<HostState>, socket: Rc<UdpSocket>) {
     let ready = state.became_ready.notified();
     if !state.core.borrow().is_ready() {
@@ -41,14 +42,15 @@
     let mut output = PacketOutput::default();
     loop {
         if let Err(error) = socket.readable().await {
-            log::error!("the packet socket failed: {error}");
+            log::error!("packet socket failed: {error}");
             return;
         }
-        for _packet in 0..BATCH {
-            let Ok((length, _source)) = socket.try_recv_from(&mut buffer[INTENDED_BYTES..]) else {
+        for _packet in 0..MAX_BATCH_PACKETS {
+            let Ok((length, _source)) = socket.try_recv_from(&mut buffer[UPSTREAM_NUMBER_BYTES..])
+            else {
                 break;
             };
-            let datagram = &mut buffer[..INTENDED_BYTES + length];
+            let datagram = &mut buffer[..UPSTREAM_NUMBER_BYTES + length];
             state.metrics.received.inc();
             handle_packet(&state, &socket, datagram, false, &mut output);
         }
@@ -59,7 +61,7 @@
     }
 }
 
-/// Hands parked packets in again for as long as the process lives.
+/// Handles parked packets again when they are due. Never returns.
 pub async fn resume_packets(state: Rc<HostState>, socket: Rc<UdpSocket>) {
     let mut output = PacketOutput::default();
     loop {
@@ -68,7 +70,8 @@
     }
 }
 
-/// Handles one datagram: room for the number in front, then the packet, which was parked before if `is_resumed`.
+/// Handles one datagram, which consists of space for the upstream number and the packet.
+/// `is_resumed` is whether the packet was parked before.
 fn handle_packet(
     state: &HostState,
     socket: &UdpSocket,
@@ -78,7 +81,7 @@
 ) {
     let now = Instant::now();
     state.last_packet.set(now);
-    let head = match decode_head(&datagram[INTENDED_BYTES..]) {
+    let head = match decode_head(&datagram[UPSTREAM_NUMBER_BYTES..]) {
         Ok(head) => head,
         Err(fault) => {
             state.metrics.count_result(fault.code());
@@ -92,15 +95,16 @@
         false => state.core.borrow_mut().packet(now, &head, output),
     }
     for action in &output.actions {
-        carry_out(state, socket, &head, datagram, action);
+        execute_action(state, socket, &head, datagram, action);
     }
     if !output.events.is_empty() {
-        let request = request_id(&datagram[INTENDED_BYTES..]);
+        let request = request_id(&datagram[UPSTREAM_NUMBER_BYTES..]);
         log_events(&output.events, request, &state.metrics);
     }
 }
 
-fn carry_out(
+/// Executes the core's decision on a packet.
+fn execute_action(
     state: &HostState,
     socket: &UdpSocket,
     head: &PacketHead,
@@ -113,9 +117,9 @@
             number,
             tag,
         } => {
-            write_intended(datagram, *number);
+            write_upstream_number(datagram, *number);
             if let Some(tag) = tag {
-                write_tag(&mut datagram[INTENDED_BYTES..], *tag);
+                write_tag(&mut datagram[UPSTREAM_NUMBER_BYTES..], *tag);
             }
             state.metrics.forwarded.inc();
             send(state, socket, datagram, *address);
@@ -138,7 +142,8 @@
     }
 }
 
-/// Tells a caller that its flow is no more; callers are answered at the port of the packet address.
+/// Sends a reset to the caller of a flow. The fabric receives packets for a caller at the caller's
+/// IP address and the port of the packet address.
 pub fn send_reset(state: &HostState, socket: &UdpSocket, reset: &FlowReset) {
     state.metrics.count_result(reset.code);
     let port = state.settings.borrow().packet_address.port();
@@ -147,7 +152,8 @@
     send(state, socket, &packet, target);
 }
 
-/// Sends without waiting: what the network does not take at once, its sender sends again.
+/// Sends a packet without waiting. One that the socket does not accept is dropped; callers
+/// retransmit.
 fn send(state: &HostState, socket: &UdpSocket, bytes: &[u8], target: SocketAddrV4) {
     if let Err(error) = socket.try_send_to(bytes, SocketAddr::V4(target)) {
         state.metrics.unsent.inc();
--- a/packetd/src/parked_packets.rs
+++ b/packetd/src/parked_packets.rs
@@ -1,4 +1,4 @@
-//! SYNs that wait for the reply of a dispatcher.
+//! SYNs that are parked until a dispatcher's reply has arrived or timed out.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,28 +9,28 @@
 use lagoonproxy_packet::flows::flow_table::FlowKey;
 use tokio::sync::Notify;
 
-/// Wait for the first packet to be parked.
-const IDLE_WAIT: Duration = Duration::from_secs(3600);
+/// Sleep time while no packet is parked. Parking a packet wakes the task earlier.
+const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// One packet, with room for the number in front of it.
+/// A parked packet, with space for the upstream number in front of it.
 #[derive(Debug)]
 struct ParkedPacket {
     key: FlowKey,
     datagram: Vec<u8>,
-    /// When it is handed in again without a reply.
+    /// Time at which the packet is handled again.
     due_at: Instant,
 }
 
-/// The packets in the order of `due_at`. The core bounds their number.
+/// The parked packets, in the order of `due_at`. The core limits their number.
 #[derive(Debug, Default)]
 pub struct ParkedPackets {
     packets: RefCell<VecDeque<ParkedPacket>>,
-    /// Wakes who hands packets in again.
+    /// Notified when the first packet may have changed.
     changed: Notify,
 }
 
 impl ParkedPackets {
-    /// Keeps a packet until its reply comes, or is late.
+    /// Parks a packet until [`REPLY_TIMEOUT`] has passed.
     pub fn park(&self, now: Instant, key: FlowKey, datagram: &[u8]) {
         let packet = ParkedPacket {
             key,
@@ -38,26 +38,27 @@
             due_at: now + REPLY_TIMEOUT,
         };
         let mut packets = self.packets.borrow_mut();
-        let place = packets.partition_point(|other| other.due_at <= packet.due_at);
-        packets.insert(place, packet);
-        if place == 0 {
+        let index = packets.partition_point(|other| other.due_at <= packet.due_at);
+        packets.insert(index, packet);
+        if index == 0 {
             self.changed.notify_one();
         }
     }
 
-    /// Changes when a flow's packet is handed in again: a reply has come, or will come later.
+    /// Reschedules the parked packet of a flow: at once if a reply has arrived, later if the
+    /// dispatcher needs more time. Does nothing if no packet of the flow is parked.
     pub fn postpone(&self, key: FlowKey, due_at: Instant) {
         let mut packets = self.packets.borrow_mut();
-        let place = packets.iter().position(|packet| packet.key == key);
-        if let Some(mut packet) = place.and_then(|place| packets.remove(place)) {
+        let index = packets.iter().position(|packet| packet.key == key);
+        if let Some(mut packet) = index.and_then(|index| packets.remove(index)) {
             packet.due_at = due_at;
-            let place = packets.partition_point(|other| other.due_at < due_at);
-            packets.insert(place, packet);
+            let index = packets.partition_point(|other| other.due_at < due_at);
+            packets.insert(index, packet);
             self.changed.notify_one();
         }
     }
 
-    /// Waits for a packet that is due.
+    /// Waits until a packet is due, and returns it.
     pub async fn next_due(&self) -> Vec<u8> {
         loop {
             let now = Instant::now();
@@ -68,10 +69,10 @@
                         if let Some(packet) = packets.pop_front() {
                             return packet.datagram;
                         }
-                        IDLE_WAIT
+                        MAX_SLEEP
                     }
                     Some(packet) => packet.due_at - now,
-                    None => IDLE_WAIT,
+                    None => MAX_SLEEP,
                 }
             };
             tokio::select! {
--- a/packetd/src/peer_socket.rs
+++ b/packetd/src/peer_socket.rs
@@ -1,4 +1,5 @@
-//! Exchanges heartbeats, changes and failure reports with the other entry hosts.
+//! Exchanges datagrams with the other entry hosts: heartbeats, state updates, failure reports, load
+//! reports and dispatch messages.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -18,13 +19,14 @@
 use crate::state_transfer;
 use crate::web_server;
 
-/// Room for the longest datagram of a peer.
+/// Size of the receive buffer in bytes; larger than the longest datagram of a peer.
 const BUFFER_BYTES: usize = 2048;
 
-/// Interval at which due heartbeats, reports and state requests are looked for.
+/// Interval at which due heartbeats, reports and state requests are sent.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts everything that concerns peers. A host that cannot bind its port goes on alone.
+/// Starts the tasks that communicate with peers. A host that cannot bind its peer address runs
+/// without peers.
 pub async fn start(state: &Rc<HostState>, address: SocketAddrV4) {
     match UdpSocket::bind(address).await {
         Ok(socket) => {
@@ -35,7 +37,7 @@
         }
         Err(error) => {
             let code = ResultCode::AddressUnavailable.number();
-            log::error!(code; "no peers, cannot bind {address}: {error}");
+            log::error!(code; "running without peers, cannot bind {address}: {error}");
         }
     }
     if let Some(listener) = web_server::listen(address).await {
@@ -43,13 +45,14 @@
     }
 }
 
+/// Receives and handles the datagrams of peers. Never returns.
 async fn receive_datagrams(state: Rc<HostState>, socket: Rc<UdpSocket>) {
     let mut buffer = [0; BUFFER_BYTES];
     loop {
         let (length, source) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                log::warn!("the peer socket failed: {error}");
+                log::warn!("peer socket failed: {error}");
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
@@ -57,20 +60,20 @@
         let SocketAddr::V4(source) = source else {
             continue;
         };
-        // Peers send from the port at which they listen, the same on all hosts.
+        // Peers send from the port on which they listen. It is the same on all hosts.
         let expected = state.settings.borrow().peer_address.port();
         if source.port() != expected {
             state.metrics.count_result(ResultCode::PeerUnknown);
             continue;
         }
-        ingest_datagram(&state, &socket, source, &buffer[..length]);
+        handle_datagram(&state, &socket, source, &buffer[..length]);
     }
 }
 
-fn ingest_datagram(state: &HostState, socket: &UdpSocket, source: SocketAddrV4, bytes: &[u8]) {
+fn handle_datagram(state: &HostState, socket: &UdpSocket, source: SocketAddrV4, bytes: &[u8]) {
     match PeerDatagram::decode(bytes) {
         Ok(PeerDatagram::Heartbeat(heartbeat)) => {
-            ingest_heartbeat(state, socket, source, heartbeat);
+            handle_heartbeat(state, socket, source, heartbeat);
         }
         Ok(PeerDatagram::Change(update)) => {
             state.merge(&update);
@@ -93,7 +96,7 @@
             let mut core = state.core.borrow_mut();
             let reply = core.handle_zone_load(Instant::now(), source, &report);
             drop(core);
-            send_due(state, socket, reply);
+            send_datagrams(state, socket, reply);
         }
         Ok(PeerDatagram::Requests(events)) => {
             let mut core = state.core.borrow_mut();
@@ -106,7 +109,7 @@
             let mut core = state.core.borrow_mut();
             let reply = core.handle_query(Instant::now(), source, &query);
             drop(core);
-            send_due(state, socket, [reply]);
+            send_datagrams(state, socket, [reply]);
         }
         Ok(PeerDatagram::Reply(reply)) => {
             let mut core = state.core.borrow_mut();
@@ -119,12 +122,14 @@
         Err(fault) => {
             let code = ResultCode::FrameMalformed;
             state.metrics.count_result(code);
-            log::info!(code = code.number(), peer:% = source; "dropped: {fault}");
+            log::info!(code = code.number(), peer:% = source; "peer datagram dropped: {fault}");
         }
     }
 }
 
-fn ingest_heartbeat(
+/// Merges a heartbeat and sends the replies to it. Triggers a state request if this host has no
+/// state and the peer has one.
+fn handle_heartbeat(
     state: &HostState,
     socket: &UdpSocket,
     source: SocketAddrV4,
@@ -141,11 +146,12 @@
     }
     send_heartbeats(state, socket, replies.heartbeats);
     if lacks_state && !through.is_unread() {
-        state.heard_peer.notify_one();
+        state.state_request_due.notify_one();
     }
 }
 
-/// Sends due heartbeats and reports, passes on changes, and asks a peer for a missing state.
+/// Sends due heartbeats and reports, forwards state updates, and requests missing state from a
+/// peer. Never returns.
 async fn update_peers(state: Rc<HostState>, socket: Rc<UdpSocket>) {
     loop {
         let now = Instant::now();
@@ -156,43 +162,46 @@
             send(&state, &socket, &PeerDatagram::Failures(reports), &targets);
         }
         let due = state.core.borrow_mut().due_load_datagrams(now);
-        send_due(&state, &socket, due);
-        ask_for_state(&state, now);
+        send_datagrams(&state, &socket, due);
+        request_missing_state(&state, now);
         tokio::select! {
             () = tokio::time::sleep(POLL_INTERVAL) => {}
-            () = state.read_something.notified() => forward_changes(&state, &socket),
-            () = state.heard_peer.notified() => {}
+            () = state.forward_due.notified() => forward_changes(&state, &socket),
+            () = state.state_request_due.notified() => {}
         }
     }
 }
 
-/// Sends queries and events for dispatchers as soon as packets have brought them about.
+/// Sends queries and request events to dispatchers, and replies to queries, as soon as packets have
+/// caused them. Never returns.
 async fn send_dispatch(state: Rc<HostState>, socket: Rc<UdpSocket>) {
     loop {
         state.dispatch_due.notified().await;
         let due = state.core.borrow_mut().take_dispatch_datagrams();
-        send_due(&state, &socket, due);
+        send_datagrams(&state, &socket, due);
     }
 }
 
-/// Asks a peer for what is missing, one at a time.
-fn ask_for_state(state: &Rc<HostState>, now: Instant) {
-    if state.asking.get() {
+/// Requests missing state from the peer that the core selects, if any. At most one request is in
+/// progress.
+fn request_missing_state(state: &Rc<HostState>, now: Instant) {
+    if state.state_requested.get() {
         return;
     }
     let Some(source) = state.core.borrow_mut().source(now) else {
         return;
     };
     let state = state.clone();
-    state.asking.set(true);
+    state.state_requested.set(true);
     tokio::task::spawn_local(async move {
-        state_transfer::ask(state.clone(), source).await;
-        state.asking.set(false);
-        state.heard_peer.notify_one();
+        state_transfer::request_state(state.clone(), source).await;
+        state.state_requested.set(false);
+        state.state_request_due.notify_one();
     });
 }
 
-/// Passes on changes. One that is too long for a datagram is announced by a heartbeat.
+/// Forwards state updates to the hosts of the zone. Instead of an update that is too long for a
+/// datagram, it sends a heartbeat, whose position causes them to request the state.
 fn forward_changes(state: &HostState, socket: &UdpSocket) {
     let now = Instant::now();
     let followers = state.core.borrow().followers(now);
@@ -216,7 +225,7 @@
     }
 }
 
-fn send_due(
+fn send_datagrams(
     state: &HostState,
     socket: &UdpSocket,
     due: impl IntoIterator<Item = AddressedDatagram>,
@@ -226,11 +235,12 @@
     }
 }
 
+/// Sends a datagram to each target without waiting. One that the socket does not accept is dropped.
 fn send(state: &HostState, socket: &UdpSocket, datagram: &PeerDatagram, targets: &[SocketAddrV4]) {
     let bytes = match datagram.encode() {
         Ok(bytes) => bytes,
         Err(fault) => {
-            log::error!("nothing sent to peers: {fault}");
+            log::error!("cannot send to peers: {fault}");
             return;
         }
     };
--- a/packetd/src/policy_file.rs
+++ b/packetd/src/policy_file.rs
@@ -1,4 +1,4 @@
-//! Reads the policy file: what operators set of the decisions under load.
+//! Reads the policy file, in which operators configure decisions under load.
 
 use std::ops::RangeInclusive;
 use std::path::Path;
@@ -8,11 +8,12 @@
 use lagoonproxy_packet::policy_config::PolicyConfig;
 use serde_with::Same;
 
-/// Margins of pressure from which flows leave for another zone, in thousandths of a request for each slot. Below the
-/// least one, noise moves flows; no pressure reaches the greatest.
+/// Valid differences of pressure from which flows are placed in another zone, in thousandths of a
+/// request per slot. Below the minimum, noise would cause spill. No pressure reaches the maximum.
 const SPILL_MARGINS: RangeInclusive<u32> = 100..=100_000;
 
-/// The policy of a file, or the defaults without one; otherwise every fault, one a line.
+/// Reads the policy from a file, or returns the defaults without one. Fails with all faults of the
+/// file, one line each.
 pub fn read_policy(path: Option<&Path>) -> Result<PolicyConfig, Vec<String>> {
     let Some(path) = path else {
         return Ok(PolicyConfig::default());
@@ -35,8 +36,7 @@
     reader.finish(Some(policy))
 }
 
-/// Each field has its default in the policy: one line a field, with `optional_within` for those that have a
-/// range.
+/// Reads the `overload` section. Fields that are missing keep the defaults of the policy.
 fn read_overload(section: &mut SettingsReader<'_>, policy: &mut PolicyConfig) {
     let exchange = &mut policy.exchange;
     exchange.is_enabled = section.optional("enabled", exchange.is_enabled);
--- a/packetd/src/process_signals.rs
+++ b/packetd/src/process_signals.rs
@@ -1,25 +1,26 @@
-//! The signals that the process acts on.
+//! The signals that the process handles.
 
 use tokio::signal::unix::Signal;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Streams of signals. From its making on, none of them ends the process by itself.
+/// Handlers of the signals. Once they are registered, none of the signals ends the process by
+/// itself.
 pub struct ProcessSignals {
-    /// Asks to read the settings again.
+    /// SIGHUP, which reloads the settings.
     pub hangup: Signal,
-    /// Ask the process to stop.
+    /// The signals that stop the process.
     pub stop: StopSignals,
 }
 
-/// The signals that ask the process to stop.
+/// The signals that stop the process gracefully.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl ProcessSignals {
-    /// Begins to take signals.
+    /// Registers the handlers. Fails if the system refuses one.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
             hangup: signal(SignalKind::hangup())?,
--- a/packetd/src/service_metrics.rs
+++ b/packetd/src/service_metrics.rs
@@ -1,6 +1,6 @@
-//! Counters and gauges by service, class and zone.
+//! Metrics by service, class and zone.
 //!
-//! Labels are bounded: a scrape shows services with routes only, and removes what was counted for others.
+//! The number of labels is bounded: a scrape removes those of services without a route.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -36,18 +36,23 @@
     zone: String,
 }
 
-/// The metrics of services.
+/// The metrics of all services.
 #[derive(Default)]
 pub struct ServiceMetrics {
+    /// SYNs deferred by their class.
     deferred: Family<ClassLabels, Counter>,
+    /// New flows refused by their class.
     refused: Family<ClassLabels, Counter>,
+    /// 1 for contended services, otherwise 0.
     contended: Family<ServiceLabels, ValueGauge>,
+    /// Requests in progress per slot in the zone, in thousandths.
     pressure: Family<ServiceLabels, ValueGauge>,
+    /// Share of new flows placed in another zone, in thousandths.
     spill: Family<SpillLabels, ValueGauge>,
-    /// The labels that `deferred` and `refused` have.
-    classes: RefCell<BTreeSet<ClassLabels>>,
-    /// The labels that `spill` has.
-    zones: RefCell<BTreeSet<SpillLabels>>,
+    /// The labels in use by `deferred` and `refused`.
+    class_labels: RefCell<BTreeSet<ClassLabels>>,
+    /// The labels in use by `spill`.
+    spill_labels: RefCell<BTreeSet<SpillLabels>>,
 }
 
 impl ServiceMetrics {
@@ -90,7 +95,7 @@
         );
     }
 
-    /// Counts what an event says of a service.
+    /// Records an event of a service. Events of other kinds are ignored.
     pub fn record(&self, event: &DecisionEvent) {
         match event {
             DecisionEvent::ClassLimited {
@@ -121,20 +126,20 @@
             &self.refused
         };
         family.get_or_create(&labels).inc();
-        self.classes.borrow_mut().insert(labels);
+        self.class_labels.borrow_mut().insert(labels);
     }
 
-    /// Records the share of a service's new flows that leaves for a zone, in thousandths.
+    /// Records the share of a service's new flows that are placed in a zone, in thousandths.
     fn set_spill(&self, service: &ServiceName, zone: &ZoneName, share: u32) {
         let labels = SpillLabels {
             service: service.to_string(),
             zone: zone.to_string(),
         };
         self.spill.get_or_create(&labels).set(share.into());
-        self.zones.borrow_mut().insert(labels);
+        self.spill_labels.borrow_mut().insert(labels);
     }
 
-    /// Sets the gauges to the present state, and removes what concerns services that have no route.
+    /// Sets the gauges of the services that have a route, and removes the labels of all others.
     pub fn update(&self, statuses: &[ServiceStatus]) {
         self.contended.clear();
         self.pressure.clear();
@@ -149,7 +154,7 @@
             let pressure = self.pressure.get_or_create(&labels);
             pressure.set(status.pressure.into());
         }
-        self.classes.borrow_mut().retain(|labels| {
+        self.class_labels.borrow_mut().retain(|labels| {
             let is_routed = routed.contains(labels.service.as_str());
             if !is_routed {
                 self.deferred.remove(labels);
@@ -157,7 +162,7 @@
             }
             is_routed
         });
-        self.zones.borrow_mut().retain(|labels| {
+        self.spill_labels.borrow_mut().retain(|labels| {
             let is_routed = routed.contains(labels.service.as_str());
             if !is_routed {
                 self.spill.remove(labels);
--- a/packetd/src/settings_file.rs
+++ b/packetd/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file, at the start, on request and when it changes on its own.
+//! Reads the settings file at the start and when it has changed.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -11,51 +11,52 @@
 use lagoonproxy_packet::policy_config::PolicyConfig;
 use lagoonproxy_platform::host_file::decode_settings;
 
-/// How long a file that cannot be read is tried again at the start. Whoever writes it empties it
-/// first; a host that reads it then and gives up at once is away until it is started again.
-/// Writing 2 KB takes less than a millisecond, and some hundred on a machine without time to spare.
-const START_PATIENCE: Duration = Duration::from_secs(1);
+/// Time for which an invalid file is read again at the start. Its writer truncates it first; a host
+/// that read the truncated file and gave up would be down until its next start. Writing 2 KB takes
+/// less than a millisecond, or some hundred milliseconds on an overloaded machine.
+const START_RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause between two tries at the start.
-const START_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two attempts at the start.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The settings file of this process.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
-    /// What was read last, whether it could be used or not.
+    /// Content as last read, valid or not.
     ///
-    /// Compared whole: a file's time of change has steps of some milliseconds, and a file that is
-    /// written twice within one looks unchanged for good.
+    /// Changes are detected by the content. Modification times have a resolution of some
+    /// milliseconds, so that the second of two writes in quick succession could remain unnoticed.
     text: Vec<u8>,
 }
 
 impl SettingsFile {
-    /// Reads the settings at the start; `None` if they stay faulty, which the log explains.
+    /// Reads the settings at the start. Returns `None`, and logs the fault, if they are still
+    /// invalid after [`START_RETRY_TIMEOUT`].
     pub async fn open(path: &Path) -> Option<(Self, HostSettings)> {
-        let give_up = Instant::now() + START_PATIENCE;
+        let deadline = Instant::now() + START_RETRY_TIMEOUT;
         loop {
             match read(path) {
                 Ok((text, settings)) => {
                     let path = path.to_owned();
                     return Some((Self { path, text }, settings));
                 }
-                Err(fault) if Instant::now() >= give_up => {
-                    report(path, &fault);
+                Err(fault) if Instant::now() >= deadline => {
+                    log_fault(path, &fault);
                     return None;
                 }
-                Err(_half_written) => tokio::time::sleep(START_PAUSE).await,
+                Err(_incomplete) => tokio::time::sleep(START_RETRY_INTERVAL).await,
             }
         }
     }
 
-    /// The settings if the file says something else than when it was read last. A fault is logged
-    /// once, and the settings of before hold.
-    pub fn changed(&mut self) -> Option<HostSettings> {
+    /// Returns the settings if the content of the file has changed since it was last read. Invalid
+    /// content is logged once, and the former settings stay in force.
+    pub fn read_if_changed(&mut self) -> Option<HostSettings> {
         let text = match std::fs::read(&self.path) {
             Ok(text) => text,
             Err(error) => {
-                report(&self.path, &error.to_string());
+                log_fault(&self.path, &error.to_string());
                 return None;
             }
         };
@@ -66,14 +67,14 @@
         match decode_settings(&self.text) {
             Ok(settings) => Some(settings),
             Err(fault) => {
-                report(&self.path, &fault.to_string());
+                log_fault(&self.path, &fault.to_string());
                 None
             }
         }
     }
 }
 
-/// Checks the settings, and the policy as it was read, for an operator.
+/// Prints the settings and the policy, or their faults, for `--check`. Returns the exit code.
 pub fn check(path: &Path, policy: &Result<PolicyConfig, Vec<String>>) -> ExitCode {
     let settings = read(path).map_err(|fault| format!("{}: {fault}", path.display()));
     if let (Ok((_text, settings)), Ok(policy)) = (&settings, policy) {
@@ -88,18 +89,19 @@
     exit_code(ResultCode::SettingsInvalid)
 }
 
-/// The number of a result as an exit code.
+/// Converts a result code to an exit code.
 pub fn exit_code(code: ResultCode) -> ExitCode {
     ExitCode::from(u8::try_from(code.number()).unwrap_or(u8::MAX))
 }
 
+/// Reads and decodes the settings file. Returns its content as well.
 fn read(path: &Path) -> Result<(Vec<u8>, HostSettings), String> {
     let text = std::fs::read(path).map_err(|error| error.to_string())?;
     let settings = decode_settings(&text).map_err(|fault| fault.to_string())?;
     Ok((text, settings))
 }
 
-fn report(path: &Path, fault: &str) {
+fn log_fault(path: &Path, fault: &str) {
     let code = ResultCode::SettingsInvalid.number();
     log::error!(code; "settings {}: {fault}", path.display());
 }
