--- a/packetd/src/state_transfer.rs
+++ b/packetd/src/state_transfer.rs
@@ -1,8 +1,8 @@
-//! Hands published state from host to host: to one that has just started, that the store turns away or
-//! that missed a change.
+//! Transfers published state to a host that has just started, that the store rejects or that has
+//! missed a change.
 //!
-//! One question and one answer over a websocket, in CBOR; used so seldom that no connection is
-//! kept. The state inside the answer is encoded as in datagrams.
+//! A transfer consists of a query and a reply in CBOR over a WebSocket. Transfers are so rare that
+//! no connection is kept. The state in the reply is encoded as in datagrams.
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -37,29 +37,33 @@
 
 use crate::host_state::HostState;
 
-/// How long one exchange may take; peers are milliseconds away, and another may be asked next.
-const EXCHANGE_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of a transfer. Round trips to peers take milliseconds, and another peer can be queried
+/// afterwards.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Hosts that are handed the state at the same time. When a fleet starts at once, those that ask the same
-/// host would else share its link, and all of them be late; each that has the state hands it on.
-const SERVED_AT_ONCE: u32 = 2;
+/// Maximum number of hosts that receive the state at the same time. When a whole fleet starts, all
+/// hosts that query the same peer would otherwise share its link and finish late. Each host that
+/// has received the state serves it to others.
+const MAX_CONCURRENT_REPLIES: u32 = 2;
 
-/// Most bytes of a state: 5,000 upstreams of 200 bytes and 5,000 routes of 100 fit four times.
-const MOST_STATE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a state in bytes. More than four times the size of a state with 5,000 upstreams
+/// of 200 bytes each and 5,000 routes of 100 bytes each.
+const MAX_STATE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Buffer of a connection in each direction; the library's own are 128 KiB.
+/// Size of a connection's buffer in each direction, in bytes. The default of the library is 128
+/// KiB.
 const BUFFER_BYTES: usize = 4 * 1024;
 
-/// Pause after a connection that could not be taken, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a connection could not be accepted, since file descriptors may have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a peer answers to what a host holds.
+/// A peer's reply to the query of a host.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
-enum StateAnswer {
-    /// What the host is missing, encoded as in datagrams.
+enum StateReply {
+    /// The state that the host is missing, encoded as in datagrams.
     State(#[serde_as(as = "serde_with::Bytes")] Vec<u8>),
-    /// Others are being served.
+    /// The peer serves [`MAX_CONCURRENT_REPLIES`] other hosts.
     Busy,
 }
 
@@ -70,27 +74,28 @@
     TimedOut,
     #[snafu(display("no connection: {source}"))]
     Unreachable { source: std::io::Error },
-    #[snafu(display("the connection failed: {source}"))]
+    #[snafu(display("connection failed: {source}"))]
     Exchange { source: tungstenite::Error },
-    #[snafu(display("the peer closed before its answer"))]
+    #[snafu(display("the peer closed the connection before replying"))]
     Closed,
-    #[snafu(display("the answer cannot be read: {source}"))]
+    #[snafu(display("cannot decode the reply: {source}"))]
     Malformed {
         source: ciborium::de::Error<std::io::Error>,
     },
-    #[snafu(display("the message cannot be written: {source}"))]
-    Unwritable {
+    #[snafu(display("cannot encode the message: {source}"))]
+    Encode {
         source: ciborium::ser::Error<std::io::Error>,
     },
-    #[snafu(display("the state in the answer: {source}"))]
+    #[snafu(display("invalid state in the reply: {source}"))]
     State { source: DatagramFault },
     #[snafu(display("the peer serves as many as it can"))]
     Busy,
-    #[snafu(display("the peer's state ends at {through}"))]
+    #[snafu(display("the peer has nothing newer: its state ends at {through}"))]
     Stale { through: StorePosition },
 }
 
 impl TransferFault {
+    /// Returns the numbered result code.
     fn code(&self) -> ResultCode {
         match self {
             Self::Exchange {
@@ -99,42 +104,42 @@
             Self::TimedOut | Self::Unreachable { .. } | Self::Exchange { .. } => {
                 ResultCode::SourceUnreachable
             }
-            Self::Closed
-            | Self::Malformed { .. }
-            | Self::Unwritable { .. }
-            | Self::State { .. } => ResultCode::StateMalformed,
+            Self::Closed | Self::Malformed { .. } | Self::Encode { .. } | Self::State { .. } => {
+                ResultCode::StateMalformed
+            }
             Self::Busy => ResultCode::PeerBusy,
             Self::Stale { .. } => ResultCode::StateStale,
         }
     }
 }
 
-/// Answers peers that ask, for as long as the process lives.
+/// Serves state to peers. Never returns.
 pub async fn serve(state: Rc<HostState>, listener: TcpListener) {
-    let serving = Rc::new(Cell::new(0));
+    let active_replies = Rc::new(Cell::new(0));
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => {
-                tokio::task::spawn_local(serve_one(state.clone(), stream, serving.clone()));
+                tokio::task::spawn_local(serve_one(state.clone(), stream, active_replies.clone()));
             }
             Err(error) => {
                 log::warn!("cannot accept a peer: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Asks a peer for what this host is missing, and takes it in.
-pub async fn ask(state: Rc<HostState>, peer: SocketAddrV4) {
+/// Queries a peer for the state that this host is missing, merges it, and forwards it to the hosts
+/// of the zone.
+pub async fn request_state(state: Rc<HostState>, peer: SocketAddrV4) {
     let query = state.core.borrow().view().query();
     let started = Instant::now();
-    let answer = match timeout(EXCHANGE_LIMIT, question(peer, &query)).await {
-        Ok(answer) => answer,
+    let reply = match timeout(EXCHANGE_TIMEOUT, query_peer(peer, &query)).await {
+        Ok(reply) => reply,
         Err(_elapsed) => Err(TransferFault::TimedOut),
     };
     let took_ms = started.elapsed().as_millis() as u64;
-    match answer {
+    match reply {
         Ok(update) => {
             log::info!(peer:% = peer, after:% = query.after, through:% = update.through, items = update.items.len(), took_ms; "state from a peer");
             if !state.merge_and_forward(update) {
@@ -153,7 +158,8 @@
     }
 }
 
-async fn question(peer: SocketAddrV4, query: &StateQuery) -> Result<StateUpdate, TransferFault> {
+/// Queries a peer and returns the update in its reply. Fails if the update contains nothing new.
+async fn query_peer(peer: SocketAddrV4, query: &StateQuery) -> Result<StateUpdate, TransferFault> {
     let stream = TcpStream::connect(peer).await.context(UnreachableSnafu)?;
     let url = format!("ws://{peer}/state");
     let (mut socket, _response) = client_async_with_config(url, stream, Some(config()))
@@ -161,39 +167,41 @@
         .context(ExchangeSnafu)?;
     send(&mut socket, query).await?;
     match receive(&mut socket).await? {
-        StateAnswer::State(bytes) => {
+        StateReply::State(bytes) => {
             let update = decode_state(&bytes).context(StateSnafu)?;
             let through = update.through;
             let has_more = through > query.after || !update.items.is_empty();
             ensure!(has_more, StaleSnafu { through });
             Ok(update)
         }
-        StateAnswer::Busy => BusySnafu.fail(),
+        StateReply::Busy => BusySnafu.fail(),
     }
 }
 
-async fn serve_one(state: Rc<HostState>, stream: TcpStream, serving: Rc<Cell<u32>>) {
-    let busy = serving.get() >= SERVED_AT_ONCE;
-    serving.set(serving.get() + 1);
-    let answer = timeout(EXCHANGE_LIMIT, answer(&state, stream, busy)).await;
-    serving.set(serving.get() - 1);
-    if let Ok(Err(fault)) = answer {
+/// Serves one peer. Replies that it is busy if [`MAX_CONCURRENT_REPLIES`] others are being served.
+async fn serve_one(state: Rc<HostState>, stream: TcpStream, active_replies: Rc<Cell<u32>>) {
+    let busy = active_replies.get() >= MAX_CONCURRENT_REPLIES;
+    active_replies.set(active_replies.get() + 1);
+    let reply = timeout(EXCHANGE_TIMEOUT, reply(&state, stream, busy)).await;
+    active_replies.set(active_replies.get() - 1);
+    if let Ok(Err(fault)) = reply {
         log::info!(code = fault.code().number(); "a peer's question failed: {fault}");
     }
 }
 
-async fn answer(state: &HostState, stream: TcpStream, busy: bool) -> Result<(), TransferFault> {
+/// Receives a query on a new connection and replies to it.
+async fn reply(state: &HostState, stream: TcpStream, busy: bool) -> Result<(), TransferFault> {
     let mut socket = accept_async_with_config(stream, Some(config()))
         .await
         .context(ExchangeSnafu)?;
     let query: StateQuery = receive(&mut socket).await?;
-    let answer = if busy {
-        StateAnswer::Busy
+    let reply = if busy {
+        StateReply::Busy
     } else {
         let update = state.core.borrow().view().update_since(&query);
-        StateAnswer::State(encode_state(&update).context(StateSnafu)?)
+        StateReply::State(encode_state(&update).context(StateSnafu)?)
     };
-    send(&mut socket, &answer).await?;
+    send(&mut socket, &reply).await?;
     socket.close(None).await.context(ExchangeSnafu)
 }
 
@@ -202,7 +210,7 @@
     value: &impl Serialize,
 ) -> Result<(), TransferFault> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).context(UnwritableSnafu)?;
+    ciborium::into_writer(value, &mut bytes).context(EncodeSnafu)?;
     socket
         .send(Message::binary(bytes))
         .await
@@ -217,10 +225,11 @@
     ciborium::from_reader(bytes.as_ref()).context(MalformedSnafu)
 }
 
+/// Returns the configuration of both ends of a connection, with a size limit for messages.
 fn config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(BUFFER_BYTES)
         .write_buffer_size(BUFFER_BYTES)
-        .max_message_size(Some(MOST_STATE_BYTES))
-        .max_frame_size(Some(MOST_STATE_BYTES))
+        .max_message_size(Some(MAX_STATE_BYTES))
+        .max_frame_size(Some(MAX_STATE_BYTES))
 }
--- a/packetd/src/store_reader.rs
+++ b/packetd/src/store_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's store as the core asks, for as long as the process lives.
+//! Calls the platform's store as directed by the core.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -9,12 +9,13 @@
 use lagoonproxy_packet::state::store_feed::ANSWER_TIMEOUT;
 use lagoonproxy_packet::state::store_feed::FeedStep;
 use lagoonproxy_packet::state::store_feed::StoreFault;
-use lagoonproxy_platform::store_client::BodyCheck;
+use lagoonproxy_platform::store_client::ProgressCheck;
 use lagoonproxy_platform::store_client::StoreClient;
 
 use crate::host_state::HostState;
 
-/// Reads the store, as far as this host is to do so.
+/// Lists and watches the store whenever the core directs it. Never returns. If the settings change
+/// the address of the store, a new client is created before the next call.
 pub async fn read_store(state: Rc<HostState>) {
     let mut address = state.settings.borrow().store_address;
     let mut client = StoreClient::new(address);
@@ -31,16 +32,16 @@
                 after,
                 progress_check_after,
             } => {
-                let check = progress_check_after.map(|progress_check_after| BodyCheck {
+                let check = progress_check_after.map(|progress_check_after| ProgressCheck {
                     progress_check_after,
-                    leaves: StartPlan::is_list_too_slow,
+                    should_abandon: StartPlan::is_list_too_slow,
                 });
                 let page = client.list(after.as_deref(), ANSWER_TIMEOUT, check).await;
                 let update = page.and_then(|page| {
                     let mut core = state.core.borrow_mut();
                     core.store_listed(Instant::now(), page)
                 });
-                take_in(&state, update);
+                apply_result(&state, update);
             }
             FeedStep::Watch { after, wait } => {
                 let batch = client.watch(after.revision, wait, ANSWER_TIMEOUT).await;
@@ -48,14 +49,15 @@
                     let mut core = state.core.borrow_mut();
                     core.store_changed(Instant::now(), batch).map(Some)
                 });
-                take_in(&state, update);
+                apply_result(&state, update);
             }
         }
     }
 }
 
-/// Applies the result of a call; `None` for a page that is not the last.
-fn take_in(state: &HostState, update: Result<Option<StateUpdate>, StoreFault>) {
+/// Applies the result of a call to the store. The update is `None` after a page that is not the
+/// last. Only the first of several failed calls in a row is logged.
+fn apply_result(state: &HostState, update: Result<Option<StateUpdate>, StoreFault>) {
     match update {
         Ok(update) => {
             state.metrics.count_store_call(ResultCode::Success);
--- a/packetd/src/web_server.rs
+++ b/packetd/src/web_server.rs
@@ -1,4 +1,4 @@
-//! Answers whether the host takes packets, and serves its metrics.
+//! HTTP server for the readiness check, the metrics and the status.
 
 use std::convert::Infallible;
 use std::net::SocketAddrV4;
@@ -16,27 +16,27 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use lagoonproxy_platform::ready_call::READY_PATH;
+use lagoonproxy_platform::readiness_check::READY_PATH;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 use crate::host_state::HostState;
 
-/// Path of the metrics.
+/// Path of the metrics, in the text format of Prometheus.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path of the state for operators' tools.
+/// Path of the status in JSON, for operators' tools.
 const STATUS_PATH: &str = "/v1/status";
 
-/// How long a connection is kept: the fabric asks twice a second and may keep one for long; one
-/// that has gone silent must not stay for ever.
-const CONNECTION_LIFE: Duration = Duration::from_secs(60);
+/// Time after which a connection is closed, so that those of vanished clients do not accumulate.
+/// The fabric sends two requests per second and may keep its connection open.
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(60);
 
-/// Pause after a connection that could not be taken, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a connection could not be accepted, since file descriptors may have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves connections of one listener for as long as the process lives.
+/// Serves the connections of a listener. Never returns.
 pub async fn serve(state: Rc<HostState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -45,13 +45,13 @@
             }
             Err(error) => {
                 log::warn!("cannot accept a connection: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Listens; says in the log why if that fails.
+/// Listens on an address. Returns `None`, and logs the error, if that fails.
 pub async fn listen(address: SocketAddrV4) -> Option<TcpListener> {
     match TcpListener::bind(address).await {
         Ok(listener) => Some(listener),
@@ -65,21 +65,22 @@
 async fn serve_connection(state: Rc<HostState>, stream: TcpStream) {
     let service = service_fn(move |request| {
         let state = state.clone();
-        async move { Ok::<_, Infallible>(answer(&state, &request)) }
+        async move { Ok::<_, Infallible>(respond(&state, &request)) }
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-    if let Ok(Err(error)) = timeout(CONNECTION_LIFE, connection).await {
-        log::debug!("connection ended: {error}");
+    if let Ok(Err(error)) = timeout(CONNECTION_LIFETIME, connection).await {
+        log::debug!("connection failed: {error}");
     }
 }
 
-fn answer(state: &HostState, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+/// Returns the response to a request.
+fn respond(state: &HostState, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     if request.method() != Method::GET {
-        return with_status(StatusCode::METHOD_NOT_ALLOWED);
+        return empty_response(StatusCode::METHOD_NOT_ALLOWED);
     }
     match request.uri().path() {
-        READY_PATH if state.is_ready() => with_status(StatusCode::OK),
-        READY_PATH => with_status(StatusCode::SERVICE_UNAVAILABLE),
+        READY_PATH if state.is_ready() => empty_response(StatusCode::OK),
+        READY_PATH => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         METRICS_PATH => {
             let text = state.metrics.text(&state.core.borrow(), Instant::now());
             Response::new(Full::from(text))
@@ -87,15 +88,15 @@
         STATUS_PATH => match serde_json::to_vec(&state.status()) {
             Ok(body) => Response::new(Full::from(body)),
             Err(error) => {
-                log::error!("the status cannot be written: {error}");
-                with_status(StatusCode::INTERNAL_SERVER_ERROR)
+                log::error!("cannot encode the status: {error}");
+                empty_response(StatusCode::INTERNAL_SERVER_ERROR)
             }
         },
-        _ => with_status(StatusCode::NOT_FOUND),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn with_status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/packetd/tests/faulty_peer.rs
+++ b/packetd/tests/faulty_peer.rs
@@ -1,4 +1,5 @@
-//! A peer that says it knows more than others, and answers who asks for it with whatever a test wants.
+//! A peer that announces a newer state than it has, and replies to queries for it as a test
+//! directs.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,30 +16,30 @@
 use tokio_tungstenite::accept_async;
 use tokio_tungstenite::tungstenite::Message;
 
-/// Pause between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How a faulty peer answers.
+/// How a faulty peer replies to a query.
 #[derive(Clone, Debug)]
-pub enum FaultyAnswer {
-    /// With these bytes.
+pub enum FaultyReply {
+    /// It sends these bytes.
     Bytes(Vec<u8>),
-    /// Not at all: it closes the connection.
+    /// It closes the connection without a reply.
     Closes,
 }
 
-/// The peer; it is gone when this is dropped.
+/// A running faulty peer. It stops when this is dropped.
 pub struct FaultyPeer {
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl FaultyPeer {
-    /// A peer at `address` that says to `target` that it knows every change up to `through`.
+    /// Starts a peer at `address` that announces to `target` a state up to the revision `through`.
     pub async fn start(
         address: SocketAddrV4,
         target: SocketAddrV4,
         through: u64,
-        answer: FaultyAnswer,
+        reply: FaultyReply,
     ) -> Self {
         let listener = TcpListener::bind(address).await.unwrap();
         let socket = UdpSocket::bind(address).await.unwrap();
@@ -65,13 +66,13 @@
                 tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             }
         });
-        let answers = tokio::spawn(async move {
+        let replies = tokio::spawn(async move {
             while let Ok((stream, _peer)) = listener.accept().await {
-                tokio::spawn(answer_one(stream, answer.clone()));
+                tokio::spawn(reply_once(stream, reply.clone()));
             }
         });
         Self {
-            tasks: vec![heartbeats, answers],
+            tasks: vec![heartbeats, replies],
         }
     }
 }
@@ -84,13 +85,14 @@
     }
 }
 
-/// Answers one question; what the asker makes of it is the test's matter.
-async fn answer_one(stream: TcpStream, answer: FaultyAnswer) {
+/// Replies to one query. Errors of the connection are ignored, because the host under test may
+/// close it at any time.
+async fn reply_once(stream: TcpStream, reply: FaultyReply) {
     let Ok(mut socket) = accept_async(stream).await else {
         return;
     };
-    let _question = socket.next().await;
-    if let FaultyAnswer::Bytes(bytes) = answer {
+    let _query = socket.next().await;
+    if let FaultyReply::Bytes(bytes) = reply {
         let _sent = socket.send(Message::binary(bytes)).await;
     }
     let _closed = socket.close(None).await;
--- a/packetd/tests/runner.rs
+++ b/packetd/tests/runner.rs
@@ -1,4 +1,5 @@
-//! Tests of `lagoon-packet` as separate processes, in one program so that linking is fast.
+//! Tests of `lagoon-packet` that run it in separate processes. They are in a single program to save
+//! linking time.
 
 mod faulty_peer;
 #[path = "../src/service_metrics.rs"]
@@ -14,7 +15,7 @@
 
 use std::path::Path;
 
-/// The program under test.
+/// Returns the path of the program under test.
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_lagoon-packet"))
 }
--- a/packetd/tests/test_dispatch_processes.rs
+++ b/packetd/tests/test_dispatch_processes.rs
@@ -1,4 +1,4 @@
-//! Tests of dispatching with the real program.
+//! Tests of dispatchers with processes of `lagoon-packet`.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -16,20 +16,20 @@
 
 use crate::program;
 
-/// Callers that keep their flow, and callers that open one for each request.
-const KEEPERS: usize = 4;
-const OPENERS: usize = 6;
+/// Number of callers that keep their flow, and of callers that open a flow for each request.
+const LONG_FLOW_CALLERS: usize = 4;
+const SHORT_FLOW_CALLERS: usize = 6;
 
-/// Time to an answer: shorter than that after which callers send again (200 ms).
+/// Response time of the upstreams. It is below the time after which callers retransmit (200 ms).
 const ANSWER_DELAY: Duration = Duration::from_millis(100);
 
-/// Flows that a caller opens for one request at most.
-const MOST_TRIES: usize = 3;
+/// Maximum number of attempts of a caller to open a flow for a request.
+const MAX_OPEN_ATTEMPTS: usize = 3;
 
-/// Requests of each caller that have to be served in each part of the test.
-const SERVED_EACH: u64 = 3;
+/// Number of requests of each caller that have to be served in each part of the test.
+const MIN_SERVED: u64 = 3;
 
-/// What a caller has met.
+/// Outcomes of the requests of a caller.
 #[derive(Debug, Default)]
 struct CallerTally {
     served: AtomicU64,
@@ -38,7 +38,7 @@
 
 async fn open(caller: &mut PacketCaller) -> Result<CallerFlow, CallFault> {
     let mut opened = caller.open(ledger()).await;
-    for _retry in 1..MOST_TRIES {
+    for _retry in 1..MAX_OPEN_ATTEMPTS {
         if opened.is_err() {
             opened = caller.open(ledger()).await;
         }
@@ -46,7 +46,7 @@
     opened
 }
 
-/// Sends requests until it is told to stop.
+/// Sends requests until `stop` is set or a request fails.
 async fn run_caller(
     mut caller: PacketCaller,
     keeps_flow: bool,
@@ -76,12 +76,13 @@
     }
 }
 
-/// Waits until every caller has been served some more requests, or one has met a fault.
+/// Waits until every caller has been served [`MIN_SERVED`] more requests. Panics if a request of a
+/// caller fails or the callers are not served in time.
 async fn wait_for_service(tallies: &[Arc<CallerTally>]) {
     let served = |tally: &Arc<CallerTally>| tally.served.load(Ordering::Relaxed);
     let wanted: Vec<u64> = tallies
         .iter()
-        .map(|tally| served(tally) + SERVED_EACH)
+        .map(|tally| served(tally) + MIN_SERVED)
         .collect();
     let wait = async {
         while tallies
@@ -97,12 +98,16 @@
         }
     };
     let ended = tokio::time::timeout(HANG_LIMIT, wait).await;
-    assert!(ended.is_ok(), "some are served no more: {tallies:?}");
+    assert!(
+        ended.is_ok(),
+        "some callers are no longer served: {tallies:?}"
+    );
 }
 
 #[tokio::test]
 async fn test_dispatching_host_is_killed_while_a_service_is_contended() {
-    // Guards against callers that are not served, and flows that break, when the dispatcher of their service dies.
+    // Guards against requests that are not served, and flows that break, when the dispatcher of the
+    // service is killed.
     const CONTENDED: &str = "lagoon_packet_service_contended{service=\"ledger\"}";
     let mut cell = PacketCell::ready(program(), 3, 2).await;
     for upstream in &cell.upstreams {
@@ -110,10 +115,10 @@
     }
     let stop = Arc::new(AtomicBool::new(false));
     let (mut tallies, mut tasks) = (Vec::new(), Vec::new());
-    for number in 0..KEEPERS + OPENERS {
+    for number in 0..LONG_FLOW_CALLERS + SHORT_FLOW_CALLERS {
         let (caller, tally) = (cell.caller().await, Arc::new(CallerTally::default()));
         tallies.push(tally.clone());
-        let run = run_caller(caller, number < KEEPERS, tally, stop.clone());
+        let run = run_caller(caller, number < LONG_FLOW_CALLERS, tally, stop.clone());
         tasks.push(tokio::spawn(run));
     }
     for host in &cell.hosts {
@@ -121,7 +126,7 @@
             .await;
     }
     wait_for_service(&tallies).await;
-    // All hosts have the same capacity, so that the hash alone selects the dispatcher.
+    // All hosts have the same capacity, so that only the hash determines the dispatcher.
     let tag = u64::from(service_tag(&"ledger".into()));
     let weight = |place: &usize| {
         let address = cell.peer_address(*place as u8 + 1);
--- a/packetd/tests/test_packet_changes.rs
+++ b/packetd/tests/test_packet_changes.rs
@@ -1,4 +1,5 @@
-//! Tests of planned work and of settings, with the real program.
+//! Tests of planned changes to hosts, upstreams, routes and settings, with processes of
+//! `lagoon-packet`.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use crate::program;
 
 #[tokio::test]
-async fn test_calm_day() {
+async fn test_requests_are_answered_and_spread() {
     let mut cell = PacketCell::ready(program(), 2, 3).await;
     let mut caller = cell.caller().await;
     for number in 0..20 {
@@ -42,18 +43,18 @@
     );
     assert!(
         tallies.iter().all(|tally| tally.requests > 0),
-        "the load is spread: {tallies:?}"
+        "an upstream gets no requests: {tallies:?}"
     );
     assert_eq!(
         caller.open(certs()).await.err(),
         Some(CallFault::Reset),
-        "nobody serves it"
+        "the service has no upstream"
     );
 }
 
 #[tokio::test]
 async fn test_rolling_restart_loses_no_request() {
-    // Guards against a host that ends while the fabric still sends to it.
+    // Guards against a host that exits while the fabric still sends packets to it.
     let mut cell = PacketCell::ready(program(), 3, 3).await;
     let mut caller = cell.caller().await;
     let load = tokio::spawn(async move {
@@ -99,7 +100,7 @@
 
 #[tokio::test]
 async fn test_evacuated_zone_keeps_its_flows_and_gets_no_new_ones() {
-    // Guards against an evacuation that the program does not read, or that it ends flows for.
+    // Guards against an evacuation that is not applied, or that ends flows.
     let mut cell = PacketCell::ready(program(), 2, 3).await;
     cell.move_upstream(2);
     let mut caller = cell.caller().await;
@@ -117,7 +118,7 @@
     for _flow in 0..20 {
         caller.open(ledger()).await.expect("a flow");
     }
-    assert_eq!(local(&cell), before, "new flows entered the zone");
+    assert_eq!(local(&cell), before, "new flows were placed in the zone");
     caller
         .request(&mut flow, b"goes on", REQUEST_LIMIT)
         .await
@@ -140,7 +141,8 @@
 
 #[tokio::test]
 async fn test_address_goes_to_another_service() {
-    // Guards against packets of an old flow that the new owner of an address accepts.
+    // Guards against packets of an old flow that are accepted by the new owner of an upstream's
+    // address.
     let mut cell = PacketCell::ready(program(), 1, 1).await;
     let mut caller = cell.caller().await;
     let mut flow = caller.open(ledger()).await.expect("a flow");
@@ -165,7 +167,7 @@
     assert_eq!(
         (tally.openings, tally.requests, tally.unknown),
         (0, 0, 0),
-        "the heir took a foreign flow"
+        "the new owner accepted packets of the old flow"
     );
 }
 
@@ -185,13 +187,13 @@
     assert_eq!(
         caller.open(ledger()).await.err(),
         Some(CallFault::Reset),
-        "older routes are back"
+        "older routes are in force"
     );
 }
 
 #[tokio::test]
 async fn test_settings_change_with_and_without_a_signal() {
-    // Guards against settings that are not reloaded, and a SIGHUP that ends the process.
+    // Guards against settings that are not reloaded, and against a SIGHUP that ends the process.
     for with_signal in [true, false] {
         let mut cell = PacketCell::with_upstreams(program(), 1).await;
         cell.start_host(StoreMood::Refuse(503)).await;
@@ -211,8 +213,9 @@
 }
 
 #[tokio::test]
-async fn test_settings_written_twice_within_a_step_of_the_files_clock() {
-    // Guards against a change that has the modification time of the one before.
+async fn test_settings_changed_with_unchanged_modification_time() {
+    // Guards against a change that is not detected because the modification time of the file is the
+    // same as before.
     let mut cell = PacketCell::with_upstreams(program(), 1).await;
     cell.start_host(StoreMood::Refuse(503)).await;
     let path = cell.hosts[0].settings_path().to_owned();
@@ -226,8 +229,9 @@
 }
 
 #[tokio::test]
-async fn test_settings_half_written_at_the_start() {
-    // Guards against a process that gives up on a file that is being written.
+async fn test_settings_incomplete_at_start() {
+    // Guards against a process that exits because the settings file is being written when it
+    // starts.
     let mut cell = PacketCell::ready(program(), 1, 1).await;
     let path = cell.hosts[0].settings_path().to_owned();
     let whole = std::fs::read(&path).unwrap();
@@ -257,7 +261,7 @@
         assert_eq!(output.status.code(), Some(code));
         assert!(
             !output.stdout.is_empty() || !output.stderr.is_empty(),
-            "it says why"
+            "the fault is not reported"
         );
     }
     std::fs::remove_file(path).unwrap();
--- a/packetd/tests/test_packet_failures.rs
+++ b/packetd/tests/test_packet_failures.rs
@@ -1,4 +1,4 @@
-//! Tests of failures, with the real program.
+//! Tests of failures, with processes of `lagoon-packet`.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 #[tokio::test]
 async fn test_host_is_killed_under_flows() {
-    // Guards against flows that end with the host that carried them.
+    // Guards against flows that end with the host that has forwarded them.
     let mut cell = PacketCell::ready(program(), 3, 3).await;
     let mut caller = cell.caller().await;
     let mut flows = Vec::new();
@@ -28,13 +28,14 @@
             .request(flow, b"one", REQUEST_LIMIT)
             .await
             .expect("an answer");
-        assert_eq!(answer, *first, "by the same upstream");
+        assert_eq!(answer, *first, "answered by another upstream");
     }
 }
 
 #[tokio::test]
 async fn test_store_turns_one_host_away() {
-    // Guards against a drain and a dropped route that a host rejected by the store does not learn of.
+    // Guards against a host that is rejected by the store and does not learn of a draining upstream
+    // and of new routes.
     for mood in [
         StoreMood::Refuse(503),
         StoreMood::Refuse(429),
@@ -60,7 +61,8 @@
 
 #[tokio::test]
 async fn test_host_starts_while_the_store_is_away() {
-    // A host is replaced while the store is down. Without its peers' copy it could serve nobody.
+    // Guards against a host that starts while the store is down and does not take over the state of
+    // its peers.
     let mut cell = PacketCell::ready(program(), 1, 2).await;
     cell.hosts[0].store.set_mood(StoreMood::Silent);
     cell.start_host(StoreMood::Silent).await;
@@ -71,8 +73,9 @@
 }
 
 #[tokio::test]
-async fn test_host_that_knows_nothing_is_not_ready() {
-    // No store and no peers: a host that called itself ready would drop whatever it gets.
+async fn test_host_without_state_is_not_ready() {
+    // Guards against a host without a store and without peers that becomes ready. It would drop
+    // every packet.
     let mut cell = PacketCell::with_upstreams(program(), 1).await;
     cell.start_host(StoreMood::Refuse(503)).await;
     cell.hosts[0]
@@ -85,7 +88,7 @@
 
 #[tokio::test]
 async fn test_store_forgets_its_history() {
-    // Guards against a host that does not list the store after its history was dropped.
+    // Guards against a host that does not list the store after the store has dropped its history.
     let mut cell = PacketCell::ready(program(), 1, 2).await;
     cell.hosts[0].store.set_mood(StoreMood::Refuse(503));
     cell.hosts[0]
@@ -125,10 +128,11 @@
 
 #[tokio::test]
 async fn test_upstream_goes_dark() {
-    // Guards against callers that wait for their deadlines at a dead upstream.
+    // Guards against callers whose new flows are placed at an unresponsive upstream until their
+    // timeouts.
     let mut cell = PacketCell::ready(program(), 1, 3).await;
     let mut caller = cell.caller().await;
-    let mut on_dark = Vec::new();
+    let mut affected = Vec::new();
     for _flow in 0..30 {
         let mut flow = caller.open(ledger()).await.expect("a flow");
         let answer = caller
@@ -136,12 +140,12 @@
             .await
             .expect("an answer");
         if answer.ends_with(b"by 1") {
-            on_dark.push(flow);
+            affected.push(flow);
         }
     }
-    assert!(on_dark.len() >= 5);
+    assert!(affected.len() >= 5);
     cell.upstreams[0].set_dark(true);
-    for flow in on_dark.iter_mut().take(4) {
+    for flow in affected.iter_mut().take(4) {
         let ended = caller.request(flow, b"two", REQUEST_LIMIT).await;
         assert!(ended.is_err());
     }
@@ -150,6 +154,9 @@
         let answer = caller
             .request(&mut flow, b"one", Duration::from_millis(190))
             .await;
-        assert!(answer.is_ok(), "a new flow into the dark");
+        assert!(
+            answer.is_ok(),
+            "a new flow was placed at the unresponsive upstream"
+        );
     }
 }
--- a/packetd/tests/test_packet_soak.rs
+++ b/packetd/tests/test_packet_soak.rs
@@ -1,4 +1,4 @@
-//! A short run of the soak; longer ones are started by hand.
+//! A short run of the soak test. Longer ones are started manually.
 
 use std::time::Duration;
 
--- a/packetd/tests/test_policy_file.rs
+++ b/packetd/tests/test_policy_file.rs
@@ -1,4 +1,4 @@
-//! Tests of the policy file: what `lagoon-packet` says of it, and with which exit code.
+//! Tests of the policy file: the output and the exit code of `lagoon-packet`.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -10,23 +10,23 @@
 
 const SETTINGS_INVALID: i32 = 100;
 
-/// Settings of a host that is never started.
+/// Valid settings. No test starts a host with them.
 const SETTINGS: &str = r#"{"NodeName":"entry-1","IP":"127.0.0.1","Ip":"127.0.0.1","Zone":"a","Listen":{"DatagramAddr":"127.0.0.1:1","Ready":"127.0.0.1:2"},"InternalPorts":[3,4],"Bounds":{"GraceS":6,"FlowTimeoutS":60},"platform":{"Address":"127.0.0.1:5"}}"#;
 
-/// Files of one test, by its name.
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file with this name to the temporary directory. Returns its path.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a file");
     path
 }
 
-fn example() -> PathBuf {
+fn example_path() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/lagoon-packet.yaml")
 }
 
-async fn run(words: &[&str], settings: &Path, policy: Option<&Path>) -> Output {
+async fn run(args: &[&str], settings: &Path, policy: Option<&Path>) -> Output {
     let mut command = Command::new(program());
-    command.args(words).arg("--settings").arg(settings);
+    command.args(args).arg("--settings").arg(settings);
     if let Some(policy) = policy {
         command.arg("--policy").arg(policy);
     }
@@ -34,11 +34,11 @@
 }
 
 #[tokio::test]
-async fn test_example_holds_the_defaults() {
-    // Guards against an example that no host takes, or that tells of other defaults.
-    let settings = file("policy-example.json", SETTINGS);
+async fn test_example_equals_the_defaults() {
+    // Guards against an example that is rejected, or whose values differ from the defaults.
+    let settings = write_file("policy-example.json", SETTINGS);
     let without = run(&["--check"], &settings, None).await;
-    let with = run(&["--check"], &settings, Some(&example())).await;
+    let with = run(&["--check"], &settings, Some(&example_path())).await;
     assert!(without.status.success(), "{without:?}");
     assert!(with.status.success(), "{with:?}");
     let shown = String::from_utf8(without.stdout.clone()).expect("text");
@@ -48,8 +48,8 @@
 
 #[tokio::test]
 async fn test_policy_that_switches_overload_off_is_read() {
-    let settings = file("policy-off.json", SETTINGS);
-    let policy = file("policy-off.yaml", "overload:\n  enabled: false\n");
+    let settings = write_file("policy-off.json", SETTINGS);
+    let policy = write_file("policy-off.yaml", "overload:\n  enabled: false\n");
     let output = run(&["--check"], &settings, Some(&policy)).await;
     assert!(output.status.success(), "{output:?}");
     let shown = String::from_utf8(output.stdout).expect("text");
@@ -57,17 +57,18 @@
 }
 
 #[tokio::test]
-async fn test_every_fault_of_a_policy_is_told_with_its_line() {
-    // Guards against a host that starts with a policy other than its operators wrote.
+async fn test_policy_faults_are_reported_with_their_lines() {
+    // Guards against a host that starts although a part of its policy file is invalid and not
+    // applied.
     struct Case {
         name: &'static str,
         text: &'static str,
-        /// The parts of one line of what the program says, for each fault.
+        /// The expected parts of the output line of each fault.
         faults: &'static [&'static [&'static str]],
     }
     let cases = [
         Case {
-            name: "unknown fields and a wrong type at once",
+            name: "unknown fields and a wrong type",
             text: "overlod: 1\noverload:\n  enabled: maybe\n  least: 0.1\n",
             faults: &[
                 &["line 1: overlod: no such field; there are overload"],
@@ -78,36 +79,36 @@
             ],
         },
         Case {
-            name: "a section that is none",
+            name: "section is not a mapping",
             text: "# switched off\noverload: false\n",
             faults: &[&["line 2: overload: expected a section"]],
         },
         Case {
-            name: "a margin out of range",
+            name: "margin out of range",
             text: "overload:\n  spill_margin: 99\n",
             faults: &[&["line 2: overload.spill_margin: must be from 100 to 100000"]],
         },
         Case {
-            name: "a field twice",
+            name: "duplicate field",
             text: "overload:\n  enabled: true\n  enabled: false\n",
             faults: &[&["duplicate"]],
         },
         Case {
-            name: "no YAML",
+            name: "invalid YAML",
             text: "overload:\n enabled: [\n",
             faults: &[&["line 3: "]],
         },
         Case {
-            name: "empty",
+            name: "empty file",
             text: "",
             faults: &[&["expected `field: value` lines"]],
         },
     ];
-    let settings = file("policy-faults.json", SETTINGS);
+    let settings = write_file("policy-faults.json", SETTINGS);
     for case in cases {
-        let policy = file("policy-faults.yaml", case.text);
-        for (words, is_check) in [(&["--check"][..], true), (&[], false)] {
-            let output = run(words, &settings, Some(&policy)).await;
+        let policy = write_file("policy-faults.yaml", case.text);
+        for (args, is_check) in [(&["--check"][..], true), (&[], false)] {
+            let output = run(args, &settings, Some(&policy)).await;
             let code = output.status.code();
             assert_eq!(code, Some(SETTINGS_INVALID), "{}: {output:?}", case.name);
             let shown = match is_check {
@@ -126,11 +127,11 @@
 }
 
 #[tokio::test]
-async fn test_policy_that_is_not_there_is_a_fault() {
-    // Guards against a host that takes the defaults because the path is misspelt.
-    let settings = file("policy-missing.json", SETTINGS);
-    for words in [&["--check"][..], &[]] {
-        let output = run(words, &settings, Some(Path::new("/nowhere.yaml"))).await;
+async fn test_missing_policy_file_is_rejected() {
+    // Guards against a host that uses the default policy because the path is misspelled.
+    let settings = write_file("policy-missing.json", SETTINGS);
+    for args in [&["--check"][..], &[]] {
+        let output = run(args, &settings, Some(Path::new("/nowhere.yaml"))).await;
         let code = output.status.code();
         assert_eq!(code, Some(SETTINGS_INVALID), "{output:?}");
     }
--- a/packetd/tests/test_restored_store.rs
+++ b/packetd/tests/test_restored_store.rs
@@ -1,4 +1,4 @@
-//! Tests of the real program with a store that comes back from a copy.
+//! Tests of a store that is restored from a backup, with processes of `lagoon-packet`.
 
 use lagoonproxy_standin::packet_cell::*;
 
@@ -6,7 +6,8 @@
 
 #[tokio::test]
 async fn test_program_applies_changes_of_a_restored_store() {
-    // Guards against a program that goes on from a revision that the restored store does not have.
+    // Guards against a host that continues to watch from a revision that the restored store has not
+    // reached.
     let mut cell = PacketCell::ready(program(), 2, 2).await;
     let copy = cell.store.copy();
     for version in 2..=9 {
@@ -33,7 +34,8 @@
 
 #[tokio::test]
 async fn test_flows_go_on_while_the_store_comes_back_from_a_copy() {
-    // Guards against a program that resets the flows of an upstream whose registration the store has lost.
+    // Guards against a host that resets the flows of an upstream whose registration was lost in the
+    // restore.
     let mut cell = PacketCell::ready(program(), 2, 1).await;
     let copy = cell.store.copy();
     let late = cell.start_upstream(2, 2).await;
@@ -53,7 +55,10 @@
         .request(&mut flow, b"goes on", REQUEST_LIMIT)
         .await
         .expect("an answer");
-    caller.open(certs()).await.expect("a flow to the lost one");
+    caller
+        .open(certs())
+        .await
+        .expect("a flow to the lost upstream");
     cell.store.write_again(lost);
     caller
         .request(&mut flow, b"goes on", REQUEST_LIMIT)
--- a/packetd/tests/test_service_metrics.rs
+++ b/packetd/tests/test_service_metrics.rs
@@ -1,4 +1,4 @@
-//! Tests of the metrics by service, class and zone, and of what a host says of its services.
+//! Tests of the metrics by service, class and zone, and of the services in a host's status.
 
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::ids::ClassRank;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A flow that was deferred or refused by its class.
+/// Returns the event of a flow that was deferred or refused by its class.
 fn limited(service_name: &str, rank: ClassRank, deferred: bool) -> DecisionEvent {
     DecisionEvent::ClassLimited {
         caller: ledger(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// The values of a scrape, sorted.
+/// Returns the sample lines of a scrape, sorted.
 fn values(registry: &Registry) -> Vec<String> {
     let mut text = String::new();
     encode(&mut text, registry).expect("text");
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn test_services_without_routes_leave_the_metrics() {
-    // Guards against labels that grow with every service that ever had a route.
+fn test_services_without_routes_are_removed_from_metrics() {
+    // Guards against a number of labels that grows with every service that has ever had a route.
     let metrics = ServiceMetrics::default();
     let mut registry = Registry::default();
     metrics.register(&mut registry);
@@ -114,8 +114,8 @@
 }
 
 #[tokio::test]
-async fn test_host_tells_of_the_services_that_have_routes() {
-    // Guards against gauges that the program does not fill.
+async fn test_status_and_metrics_list_routed_services() {
+    // Guards against gauges that are registered and never set.
     let cell = PacketCell::ready(program(), 1, 1).await;
     let calm = "lagoon_packet_service_contended{service=\"ledger\"} 0";
     cell.hosts[0]
@@ -123,7 +123,10 @@
         .await;
     let text = cell.hosts[0].page("/metrics").await;
     assert!(text.contains(calm), "{text}");
-    assert!(!text.contains("lagoon_packet_class_"), "calm: {text}");
+    assert!(
+        !text.contains("lagoon_packet_class_"),
+        "no flow was limited: {text}"
+    );
     let text = cell.hosts[0].page("/v1/status").await;
     let status: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(status["services"][0]["contended"], false, "{text}");
@@ -131,7 +134,7 @@
 
 #[tokio::test]
 async fn test_invalid_fields_reach_the_metrics_of_every_host() {
-    // Guards against a field that is not used, and of which operators hear on the reading host only.
+    // Guards against invalid fields that are counted only on the host that reads the store.
     let cell = PacketCell::ready(program(), 2, 1).await;
     let before: Vec<f64> = invalid_fields(&cell).await;
     let config = br#"{"Version":9,"Routes":[{"Name":"r","Hostname":"198.18.0.1","Prefix":"/443/","RouteType":"safe","TimeoutMs":1500,"Priority":-1,"Service":"ledger"}],"Services":[{"Name":"ledger","MaxConnections":0}],"Limits":{"IdleTimeoutMs":15000}}"#;
--- a/packetd/tests/test_state_faults.rs
+++ b/packetd/tests/test_state_faults.rs
@@ -1,4 +1,4 @@
-//! Tests of states that a peer hands over and that cannot be used, with the real program.
+//! Tests of invalid states received from a peer, with processes of `lagoon-packet`.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +7,28 @@
 use lagoonproxy_packet::state::store_position::StorePosition;
 use lagoonproxy_standin::packet_cell::*;
 
-use crate::faulty_peer::FaultyAnswer;
 use crate::faulty_peer::FaultyPeer;
+use crate::faulty_peer::FaultyReply;
 use crate::program;
 
-/// More than a state may have.
+/// More than the maximum size of a state.
 const OVERSIZED_BYTES: usize = 9 * 1024 * 1024;
 
+/// Returns a value in CBOR.
 fn encoded(value: &impl serde::Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
     ciborium::into_writer(value, &mut bytes).unwrap();
     bytes
 }
 
-/// An answer with these bytes for a state.
+/// Returns a reply with these bytes as its state.
 fn state_bytes(bytes: Vec<u8>) -> Vec<u8> {
     let bytes = ciborium::Value::Bytes(bytes);
     encoded(&BTreeMap::from([("State", bytes)]))
 }
 
-fn state_answer(through: u64) -> Vec<u8> {
+/// Returns a reply with a delta without items.
+fn state_reply(through: u64) -> Vec<u8> {
     let update = StateUpdate {
         items: Vec::new(),
         through: StorePosition {
@@ -48,44 +50,44 @@
     // Guards against a peer's state that is truncated, malformed, stale or oversized.
     struct Case {
         name: &'static str,
-        answer: FaultyAnswer,
+        reply: FaultyReply,
         code: u16,
     }
-    let cut_short = state_answer(9_000).split_at(12).0.to_vec();
+    let cut_short = state_reply(9_000).split_at(12).0.to_vec();
     let cases = [
         Case {
-            name: "cut short",
-            answer: FaultyAnswer::Bytes(cut_short),
+            name: "truncated reply",
+            reply: FaultyReply::Bytes(cut_short),
             code: 403,
         },
         Case {
-            name: "another format",
-            answer: FaultyAnswer::Bytes(encoded(&"hello")),
+            name: "reply of another type",
+            reply: FaultyReply::Bytes(encoded(&"hello")),
             code: 403,
         },
         Case {
-            name: "a state of another format",
-            answer: FaultyAnswer::Bytes(state_bytes(vec![0, 1, 2])),
+            name: "undecodable state",
+            reply: FaultyReply::Bytes(state_bytes(vec![0, 1, 2])),
             code: 403,
         },
         Case {
-            name: "no answer",
-            answer: FaultyAnswer::Closes,
+            name: "no reply",
+            reply: FaultyReply::Closes,
             code: 403,
         },
         Case {
-            name: "an old state",
-            answer: FaultyAnswer::Bytes(state_answer(1)),
+            name: "stale state",
+            reply: FaultyReply::Bytes(state_reply(1)),
             code: 404,
         },
         Case {
-            name: "too large",
-            answer: FaultyAnswer::Bytes(vec![0; OVERSIZED_BYTES]),
+            name: "oversized reply",
+            reply: FaultyReply::Bytes(vec![0; OVERSIZED_BYTES]),
             code: 405,
         },
         Case {
-            name: "busy",
-            answer: FaultyAnswer::Bytes(encoded(&"Busy")),
+            name: "busy peer",
+            reply: FaultyReply::Bytes(encoded(&"Busy")),
             code: 402,
         },
     ];
@@ -93,7 +95,7 @@
         let mut cell = PacketCell::ready(program(), 1, 1).await;
         let before = cell.hosts[0].metric("lagoon_packet_through").await;
         let target = cell.peer_address(1);
-        let _peer = FaultyPeer::start(cell.peer_address(9), target, 9_000, case.answer).await;
+        let _peer = FaultyPeer::start(cell.peer_address(9), target, 9_000, case.reply).await;
         let counted = format!("lagoon_packet_results_total{{code=\"{}\"", case.code);
         cell.hosts[0]
             .wait_for_metric(&counted, |count| count >= 1.0)
