--- a/packet/tests/test_fleet_reading.rs
+++ b/packet/tests/test_fleet_reading.rs
@@ -61,7 +61,8 @@
         for second in 1..=12 {
             rig.pass_with_changes(1000, 200);
             let counts = reader_counts(&rig);
-            // Two hosts of a zone may read for a moment when a larger host takes over.
+            // Two hosts of a zone may read at one check, but not at two in succession: a larger
+            // host then takes over.
             let is_steady =
                 |zone: usize| counts[zone] == 1 || counts[zone] == 2 && before[zone] == 1;
             let is_expected = match second {
--- a/packet/tests/test_restored_store.rs
+++ b/packet/tests/test_restored_store.rs
@@ -1,5 +1,5 @@
-//! Tests of a store that is restored from a backup: later changes are lost, and their revisions are
-//! reused.
+//! Tests of a store that is restored from a backup some seconds old: later changes are lost, and
+//! their revisions are reused.
 
 use lagoonproxy_packet::packet_action::DecisionEvent;
 use lagoonproxy_packet::state::state_snapshot::PublishedItem;
--- a/packet/tests/test_zone_spill.rs
+++ b/packet/tests/test_zone_spill.rs
@@ -1114,17 +1114,20 @@
     // Guards against reports that are ignored permanently because the sender's sequence starts at 1
     // again after a restart.
     let mut rig = spilling_aggregator();
-    let unasked = |sequence, pressure| ZoneLoadReport {
+    let remote_query = |sequence, pressure| ZoneLoadReport {
         zone: "b".into(),
         sequence,
         wants_reply: true,
         services: vec![service_load(pressure)],
     };
-    assert!(rig.spill.heard(rig.now, host(1, 7), &unasked(900, 600)));
+    assert!(
+        rig.spill
+            .heard(rig.now, host(1, 7), &remote_query(900, 600))
+    );
     for sequence in 1..=25 {
         rig.now += TICK_INTERVAL;
         rig.spill
-            .heard(rig.now, host(1, 7), &unasked(sequence, 700));
+            .heard(rig.now, host(1, 7), &remote_query(sequence, 700));
         rig.tick();
     }
     assert_eq!(entries_of(&rig)[0].services[0].pressure, 700);
