--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `lagoonctl check`: finds every fault of a file before it is published or used.
+//! `lagoonctl check`: reports all faults of a selector or a file before it is published or used.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -23,18 +23,18 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArgs {
-    /// what to check
+    /// the kind of input
     #[argh(subcommand)]
     pub kind: CheckKind,
 }
 
-/// What to check.
+/// The kinds of input.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum CheckKind {
-    /// The text of a selector.
+    /// A selector, given as an argument.
     Selector(CheckSelector),
-    /// Services and upstreams.
+    /// A published configuration: services and upstreams.
     Config(CheckConfig),
     /// Settings of lagoon-entry.
     Entry(CheckEntry),
@@ -46,7 +46,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "selector")]
 pub struct CheckSelector {
-    /// the selector
+    /// the selector, such as service=ledger
     #[argh(positional)]
     pub text: String,
 }
@@ -55,7 +55,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "config")]
 pub struct CheckConfig {
-    /// the file
+    /// path of the file
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -64,7 +64,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub struct CheckEntry {
-    /// the file
+    /// path of the file
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -73,12 +73,12 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 pub struct CheckControl {
-    /// the file
+    /// path of the file
     #[argh(positional)]
     pub file: PathBuf,
 }
 
-/// Checks what was named and lists every fault.
+/// Checks the input and returns a report of all its faults.
 pub fn cmd_check(args: &CheckArgs) -> Result<CommandReport, CommandError> {
     match &args.kind {
         CheckKind::Selector(args) => Ok(check_selector(&args.text)),
@@ -114,8 +114,8 @@
 
 fn check_config(file: &Path) -> Result<CommandReport, CommandError> {
     let config = read_config_file(file)?;
-    let faults: Vec<String> = texts(&config_faults(&config));
-    let warnings = texts(&config_warnings(&config));
+    let faults: Vec<String> = to_strings(&config_faults(&config));
+    let warnings = to_strings(&config_warnings(&config));
     let code = if faults.is_empty() {
         ResultCode::Success
     } else {
@@ -127,7 +127,7 @@
 fn settings_report(parsed: Result<(), SettingsFaults>) -> CommandReport {
     match parsed {
         Ok(()) => report(ResultCode::Success, &[], &[]),
-        Err(refused) => report(ResultCode::SettingsInvalid, &texts(&refused.faults), &[]),
+        Err(error) => report(ResultCode::SettingsInvalid, &to_strings(&error.faults), &[]),
     }
 }
 
@@ -144,7 +144,7 @@
     CommandReport { code, lines, json }
 }
 
-fn texts<T: ToString>(items: &[T]) -> Vec<String> {
+fn to_strings<T: ToString>(items: &[T]) -> Vec<String> {
     items.iter().map(ToString::to_string).collect()
 }
 
--- a/cli/src/commands/drain.rs
+++ b/cli/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `lagoonctl drain`: follows hosts that were told to stop until they are done.
+//! `lagoonctl drain`: waits until draining hosts have finished their requests or have stopped.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,26 +10,23 @@
 use crate::command_error::CommandError;
 use crate::command_report::CommandReport;
 use crate::commands::status::status_report;
+use crate::commands::watch::parse_wait;
 use crate::commands::watch::wait_for_hosts;
-use crate::commands::watch::wait_from_text;
 
-/// Follow draining hosts until each has finished its requests or has stopped.
+/// Wait until each draining host has finished its requests or has stopped.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainArgs {
-    /// admin address of a host; may stand several times
+    /// admin address of a host; may be repeated
     #[argh(option)]
     pub host: Vec<SocketAddr>,
-    /// how long to wait, such as 30s
-    #[argh(
-        option,
-        default = "Duration::from_secs(60)",
-        from_str_fn(wait_from_text)
-    )]
+    /// maximum time to wait, such as 30s
+    #[argh(option, default = "Duration::from_secs(60)", from_str_fn(parse_wait))]
     pub wait: Duration,
 }
 
-/// Looks at the hosts until each is drained or gone, with progress on standard error.
+/// Polls the hosts until each is drained or has stopped, or the time is over. Prints progress to
+/// standard error.
 pub async fn cmd_drain(args: &DrainArgs) -> Result<CommandReport, CommandError> {
     wait_for_hosts(
         &args.host,
@@ -41,7 +38,8 @@
     .await
 }
 
-/// A host that no longer answers has stopped, which a drain ends in.
+/// Returns whether the drain of a host is complete. An unreachable host counts as stopped, which
+/// is how a drain ends.
 fn is_drained(reply: &HostReply<HostStatus>) -> bool {
     match &reply.status {
         Ok(status) => status.draining && status.requests == 0,
--- a/cli/src/commands/evacuation.rs
+++ b/cli/src/commands/evacuation.rs
@@ -14,38 +14,35 @@
 use crate::admin_client::HostReply;
 use crate::command_error::CommandError;
 use crate::command_report::CommandReport;
-use crate::command_report::layout_table;
+use crate::command_report::format_table;
+use crate::commands::watch::parse_wait;
 use crate::commands::watch::wait_for_hosts;
-use crate::commands::watch::wait_from_text;
 
-const HEAD: [&str; 6] = ["host", "address", "evacuated", "revision", "for", "flows"];
+const HEADER: [&str; 6] = ["host", "address", "evacuated", "revision", "for", "flows"];
 
-/// Wait until every host places no new flows in a zone, and show the flows that are still open there.
+/// Wait until no host places new flows in a zone, and show the flows that are still open there.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "evacuation")]
 pub struct EvacuationArgs {
-    /// address of a host's metrics; may stand several times
+    /// address of a host's metrics; may be repeated
     #[argh(option)]
     pub host: Vec<SocketAddr>,
     /// the availability zone
     #[argh(option)]
     pub zone: ZoneName,
-    /// wait until every host places flows there again
+    /// wait for the end of the evacuation instead
     #[argh(switch)]
     pub restored: bool,
-    /// wait until no flow is open there as well
+    /// wait until no flow is open in the zone as well
     #[argh(switch)]
     pub empty: bool,
-    /// how long to wait, such as 30s
-    #[argh(
-        option,
-        default = "Duration::from_secs(30)",
-        from_str_fn(wait_from_text)
-    )]
+    /// maximum time to wait, such as 30s
+    #[argh(option, default = "Duration::from_secs(30)", from_str_fn(parse_wait))]
     pub wait: Duration,
 }
 
-/// Looks at the hosts until all are done or the time is over, with progress on standard error.
+/// Polls the hosts until all have applied the change or the time is over. Prints progress to
+/// standard error.
 pub async fn cmd_evacuation(args: &EvacuationArgs) -> Result<CommandReport, CommandError> {
     wait_for_hosts(
         &args.host,
@@ -72,14 +69,14 @@
     zones.find(|evacuation| evacuation.zone == *zone)
 }
 
-/// A row for each host; [`wait_for_hosts`] sets the code.
+/// Builds a report with a row per host. [`wait_for_hosts`] replaces its result code.
 fn evacuation_report(zone: &ZoneName, replies: &[HostReply<PacketStatus>]) -> CommandReport {
-    let mut rows = vec![HEAD.map(str::to_owned).to_vec()];
+    let mut rows = vec![HEADER.map(str::to_owned).to_vec()];
     rows.extend(replies.iter().map(|reply| host_row(zone, reply)));
     let hosts: Vec<_> = replies.iter().map(HostReply::to_json).collect();
     CommandReport {
         code: ResultCode::Success,
-        lines: layout_table(&rows),
+        lines: format_table(&rows),
         json: json!({"zone": zone, "hosts": hosts}),
     }
 }
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `lagoonctl explain`: why an upstream may or may not carry a service's traffic.
+//! `lagoonctl explain`: lists why an upstream does or does not get new traffic of a service.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,25 +19,28 @@
 use crate::command_report::CommandReport;
 use crate::config_source::load_config;
 
-/// Say why an upstream may or may not carry a service's traffic.
+/// Explain why an upstream does or does not get new traffic of a service.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainArgs {
-    /// the service's name
+    /// name of the service
     #[argh(option)]
     pub service: String,
-    /// the upstream's name
+    /// name of the upstream
     #[argh(option)]
     pub upstream: String,
     /// file with services and upstreams
     #[argh(option)]
     pub config: Option<PathBuf>,
-    /// address of the platform, read when there is no file
+    /// address of the platform, used if no file is given
     #[argh(option)]
     pub platform: Option<SocketAddr>,
 }
 
-/// Holds the upstream's labels and state against the service's selector.
+/// Checks the upstream's labels against the service's selector, and the upstream's state and the
+/// configuration for other reasons against new traffic.
+///
+/// Fails if the configuration cannot be read or lacks the service or the upstream.
 pub async fn cmd_explain(args: &ExplainArgs) -> Result<CommandReport, CommandError> {
     let config = load_config(args.config.as_ref(), args.platform).await?;
     let service = find_service(&config, &args.service)?;
--- a/cli/src/commands/forwarders.rs
+++ b/cli/src/commands/forwarders.rs
@@ -1,4 +1,4 @@
-//! `lagoonctl forwarders`: the state of hosts that forward packets.
+//! `lagoonctl forwarders`: shows the state of hosts that run lagoon-packet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 use crate::admin_client::read_hosts;
 use crate::command_error::CommandError;
 use crate::command_report::CommandReport;
-use crate::command_report::layout_table;
+use crate::command_report::format_table;
 
-const HOST_HEAD: [&str; 10] = [
+const HOST_HEADER: [&str; 10] = [
     "host",
     "address",
     "zone",
@@ -33,7 +33,7 @@
     "state",
 ];
 
-const UPSTREAM_HEAD: [&str; 8] = [
+const UPSTREAM_HEADER: [&str; 8] = [
     "host",
     "upstream",
     "service",
@@ -44,7 +44,7 @@
     "heard",
 ];
 
-const ROUTE_HEAD: [&str; 7] = [
+const ROUTE_HEADER: [&str; 7] = [
     "host",
     "address",
     "priority",
@@ -54,13 +54,13 @@
     "services",
 ];
 
-const SERVICE_HEAD: [&str; 6] = ["host", "service", "contended", "pressure", "age", "classes"];
+const SERVICE_HEADER: [&str; 6] = ["host", "service", "contended", "pressure", "age", "classes"];
 
-/// Show the state of hosts that forward packets, and of upstreams as they see them.
+/// Show the state of hosts that run lagoon-packet, and their view of upstreams.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "forwarders")]
 pub struct ForwardersArgs {
-    /// address of a host's metrics; may stand several times
+    /// address of a host's metrics; may be repeated
     #[argh(option)]
     pub host: Vec<SocketAddr>,
     /// show each host's upstreams as well
@@ -69,47 +69,48 @@
     /// show each host's routes as well
     #[argh(switch)]
     pub routes: bool,
-    /// show each host's services as well: which are contended, and their classes
+    /// show each host's services as well, with their contention and priority classes
     #[argh(switch)]
     pub services: bool,
 }
 
-/// Asks every host and lays out what they say.
+/// Reads the status of all hosts and returns it as tables.
 pub async fn cmd_forwarders(args: &ForwardersArgs) -> Result<CommandReport, CommandError> {
     let replies = read_hosts::<PacketStatus>(&args.host).await?;
     Ok(forwarders_report(&replies, args))
 }
 
-/// A report of all replies; hosts that did not answer are named and decide the code.
+/// Builds the report of all replies. If a host is unreachable, its row shows the error and the
+/// result code is `SourceUnreachable`.
 pub fn forwarders_report(
     replies: &[HostReply<PacketStatus>],
     args: &ForwardersArgs,
 ) -> CommandReport {
-    let mut rows = vec![HOST_HEAD.map(str::to_owned).to_vec()];
+    let mut rows = vec![HOST_HEADER.map(str::to_owned).to_vec()];
     rows.extend(replies.iter().map(host_row));
-    let mut lines = layout_table(&rows);
+    let mut lines = format_table(&rows);
     if args.upstreams {
-        lines.extend(host_table(replies, &UPSTREAM_HEAD, |status| {
+        lines.extend(host_table(replies, &UPSTREAM_HEADER, |status| {
             let upstreams = status.upstreams.iter();
             let rows = upstreams.map(|upstream| upstream_row(status, upstream));
             rows.collect()
         }));
     }
     if args.routes {
-        lines.extend(host_table(replies, &ROUTE_HEAD, |status| {
+        lines.extend(host_table(replies, &ROUTE_HEADER, |status| {
             let routes = status.routes.iter();
             routes.map(|route| route_row(status, route)).collect()
         }));
     }
     if args.services {
-        lines.extend(host_table(replies, &SERVICE_HEAD, |status| {
+        lines.extend(host_table(replies, &SERVICE_HEADER, |status| {
             let services = status.services.iter();
             let rows = services.map(|service| service_row(status, service));
             rows.collect()
         }));
     }
-    let silent = replies.iter().any(|reply| reply.status.is_err());
-    let code = if silent {
+    let unreachable = replies.iter().any(|reply| reply.status.is_err());
+    let code = if unreachable {
         ResultCode::SourceUnreachable
     } else {
         ResultCode::Success
@@ -122,20 +123,20 @@
     }
 }
 
-/// A table of what each host says, with an empty line before it.
+/// Returns the lines of a table with the rows of all reachable hosts, after an empty line.
 fn host_table(
     replies: &[HostReply<PacketStatus>],
-    head: &[&str],
+    header: &[&str],
     rows_of: impl Fn(&PacketStatus) -> Vec<Vec<String>>,
 ) -> Vec<String> {
-    let head = head.iter().map(|cell| (*cell).to_owned());
-    let mut rows = vec![head.collect()];
+    let header = header.iter().map(|cell| (*cell).to_owned());
+    let mut rows = vec![header.collect()];
     let statuses = replies
         .iter()
         .filter_map(|reply| reply.status.as_ref().ok());
     rows.extend(statuses.flat_map(rows_of));
     let mut lines = vec![String::new()];
-    lines.extend(layout_table(&rows));
+    lines.extend(format_table(&rows));
     lines
 }
 
@@ -166,7 +167,7 @@
     ]
 }
 
-/// Who reads the store for the host's zone, as the host sees it.
+/// Returns the host that reads the store for this host's zone, as far as this host knows.
 fn reader_text(status: &PacketStatus) -> String {
     match (status.reads, status.reader) {
         (true, _) => "itself".to_owned(),
@@ -175,7 +176,7 @@
     }
 }
 
-/// The zones that the host places no new flows in.
+/// Returns the evacuated zones, in which the host places no new flows.
 fn evacuated_text(status: &PacketStatus) -> String {
     let zones: Vec<&str> = status
         .evacuated
@@ -247,7 +248,7 @@
     ]
 }
 
-/// The rank of a class and its priorities, such as `1:3,4`.
+/// Formats a priority class as its rank and its priorities, such as `1:3,4`.
 fn class_text(class: &ClassStatus) -> String {
     let priorities = class.priorities.iter().copied().map(priority_text);
     let priorities: Vec<String> = priorities.collect();
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `lagoonctl status`: what is in force where.
+//! `lagoonctl status`: shows the version in force and the load of each host.
 
 use std::net::SocketAddr;
 
@@ -13,41 +13,42 @@
 use crate::admin_client::read_hosts;
 use crate::command_error::CommandError;
 use crate::command_report::CommandReport;
-use crate::command_report::layout_table;
+use crate::command_report::format_table;
 
-const HEAD: [&str; 9] = [
+const HEADER: [&str; 9] = [
     "host", "address", "version", "in force", "list", "alive", "flows", "requests", "state",
 ];
 
-/// Show version in force, flows, requests and drain of each host.
+/// Show the version in force, flows, requests and drain state of each host.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
-    /// admin address of a host; may stand several times
+    /// admin address of a host; may be repeated
     #[argh(option)]
     pub host: Vec<SocketAddr>,
 }
 
-/// Asks every host and lays out what they say.
+/// Reads the status of all hosts and returns it as a table.
 pub async fn cmd_status(args: &StatusArgs) -> Result<CommandReport, CommandError> {
     let replies = read_hosts(&args.host).await?;
     Ok(status_report(&replies))
 }
 
-/// A report of all replies; hosts that did not answer are named and decide the code.
+/// Builds the report of all replies. If a host is unreachable, its row shows the error and the
+/// result code is `SourceUnreachable`.
 pub fn status_report(replies: &[HostReply<HostStatus>]) -> CommandReport {
-    let mut rows = vec![HEAD.map(str::to_owned).to_vec()];
+    let mut rows = vec![HEADER.map(str::to_owned).to_vec()];
     rows.extend(replies.iter().map(status_row));
     let hosts: Vec<_> = replies.iter().map(HostReply::to_json).collect();
-    let silent = replies.iter().any(|reply| reply.status.is_err());
-    let code = if silent {
+    let unreachable = replies.iter().any(|reply| reply.status.is_err());
+    let code = if unreachable {
         ResultCode::SourceUnreachable
     } else {
         ResultCode::Success
     };
     CommandReport {
         code,
-        lines: layout_table(&rows),
+        lines: format_table(&rows),
         json: json!({"hosts": hosts}),
     }
 }
--- a/cli/src/commands/watch.rs
+++ b/cli/src/commands/watch.rs
@@ -19,29 +19,27 @@
 use crate::command_report::CommandReport;
 use crate::commands::status::status_report;
 
-/// Time between two looks at the hosts.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
+/// Interval at which hosts are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Wait until a version, or a newer one, is in force on every host.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "watch")]
 pub struct WatchArgs {
-    /// admin address of a host; may stand several times
+    /// admin address of a host; may be repeated
     #[argh(option)]
     pub host: Vec<SocketAddr>,
-    /// the version; with its era before it, such as 1.105, if the platform has come back from a copy
-    #[argh(option, from_str_fn(version_from_text))]
+    /// the version, such as 105; with the era before it, such as 1.105, if the platform was restored
+    /// from a backup
+    #[argh(option, from_str_fn(parse_version_option))]
     pub version: Version,
-    /// how long to wait, such as 30s
-    #[argh(
-        option,
-        default = "Duration::from_secs(30)",
-        from_str_fn(wait_from_text)
-    )]
+    /// maximum time to wait, such as 30s
+    #[argh(option, default = "Duration::from_secs(30)", from_str_fn(parse_wait))]
     pub wait: Duration,
 }
 
-/// Looks at the hosts until all have the version, with progress on standard error.
+/// Polls the hosts until all have the version or a newer one, or the time is over. Prints progress
+/// to standard error.
 pub async fn cmd_watch(args: &WatchArgs) -> Result<CommandReport, CommandError> {
     let has_version = |reply: &HostReply<HostStatus>| {
         let status = reply.status.as_ref();
@@ -57,8 +55,10 @@
     .await
 }
 
-/// Looks at hosts until `is_done` holds for each or `wait` has passed; the report of the last look, whose
-/// code says which of the two.
+/// Polls the hosts until `is_done` holds for all of them or `wait` has passed. Returns the report
+/// of the last poll, with `Success` or `NotConverged` as its result code.
+///
+/// Prints `N of M hosts` and `what` to standard error whenever N changes.
 pub async fn wait_for_hosts<S: DeserializeOwned + Send + 'static>(
     hosts: &[SocketAddr],
     wait: Duration,
@@ -67,11 +67,11 @@
     report_replies: impl Fn(&[HostReply<S>]) -> CommandReport,
 ) -> Result<CommandReport, CommandError> {
     let deadline = Instant::now() + wait;
-    let mut shown = None;
+    let mut last_printed = None;
     loop {
         let replies = read_hosts::<S>(hosts).await?;
         let done = replies.iter().filter(|reply| is_done(reply)).count();
-        if shown.replace(done) != Some(done) {
+        if last_printed.replace(done) != Some(done) {
             eprintln!("{done} of {} hosts {what}", replies.len());
         }
         let mut report = report_replies(&replies);
@@ -83,15 +83,15 @@
             report.code = ResultCode::NotConverged;
             return Ok(report);
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn version_from_text(text: &str) -> Result<Version, String> {
+fn parse_version_option(text: &str) -> Result<Version, String> {
     parse_version(text).map_err(|fault| fault.to_string())
 }
 
-/// Reads a duration from the command line.
-pub fn wait_from_text(text: &str) -> Result<Duration, String> {
+/// Parses a duration of the command line.
+pub fn parse_wait(text: &str) -> Result<Duration, String> {
     parse_duration(text).map_err(|error: UnitError| error.to_string())
 }
--- a/cli/src/config_source.rs
+++ b/cli/src/config_source.rs
@@ -1,4 +1,4 @@
-//! Where a command reads the published configuration: a file, or the platform.
+//! Reads the published configuration from a file or from the platform.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,7 +18,7 @@
 use crate::command_error::PlatformValueSnafu;
 use crate::command_error::ReadFileSnafu;
 
-/// The answer of the platform's list of keys.
+/// Response of the platform to a list of keys.
 #[derive(Deserialize)]
 struct KeyList {
     revision: Version,
@@ -30,13 +30,15 @@
     key: String,
 }
 
-/// The answer of the platform's read of a value.
+/// Response of the platform to the read of a value.
 #[derive(Deserialize)]
 struct KeyValue {
     value: Value,
 }
 
-/// Reads from the file if there is one, from the platform otherwise.
+/// Reads the configuration from the file if one is given, otherwise from the platform.
+///
+/// Fails if neither is given, or if the source cannot be read or parsed.
 pub async fn load_config(
     file: Option<&PathBuf>,
     platform: Option<SocketAddr>,
@@ -48,7 +50,7 @@
     }
 }
 
-/// Reads a file in YAML or JSON with `services` and `upstreams`.
+/// Reads a YAML or JSON file with `services` and `upstreams`.
 pub fn read_config_file(path: &Path) -> Result<PublishedConfig, CommandError> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
     serde_norway::from_str(&text).context(ParseFileSnafu { path })
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! `lagoonctl`, the command-line client of operators.
+//! `lagoonctl`, the command-line client for operators.
 //!
-//! Every command returns a report, which is printed as text or as JSON, and a result code, which
-//! becomes the exit code. Nothing here writes to the platform or to a host.
+//! Every command returns a report, printed as text or as JSON, and a result code, used as the exit
+//! code. No command writes to the platform or to a host.
 
 pub mod admin_client;
 pub mod command_error;
--- a/cli/tests/runner.rs
+++ b/cli/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The tests of the command-line client, in one program so that linking is fast.
+//! Test binary of `lagoonctl`. All tests are linked into one binary to save build time.
 
 mod test_check;
 mod test_explain;
--- a/cli/tests/test_check.rs
+++ b/cli/tests/test_check.rs
@@ -1,8 +1,8 @@
-//! Tests of `lagoonctl check`: every fault is named, and the exit code says so.
+//! Tests of `lagoonctl check`: reported faults and the result code.
 
 use argh::FromArgs;
 use lagoonctl::command_report::CommandReport;
-use lagoonctl::command_report::layout_table;
+use lagoonctl::command_report::format_table;
 use lagoonctl::commands::CtlArgs;
 use lagoonctl::commands::run;
 use lagoonproxy::result_code::ResultCode;
@@ -13,8 +13,8 @@
     lines: &'static [&'static str],
 }
 
-async fn ctl(words: &[&str]) -> CommandReport {
-    let args = CtlArgs::from_args(&["lagoonctl"], words).unwrap();
+async fn ctl(arguments: &[&str]) -> CommandReport {
+    let args = CtlArgs::from_args(&["lagoonctl"], arguments).unwrap();
     run(args.command).await.unwrap()
 }
 
@@ -65,5 +65,5 @@
 #[test]
 fn test_table_columns_are_aligned() {
     let rows = [["a", "bb"], ["ccc", "d"]].map(|row| row.map(str::to_owned).to_vec());
-    assert_eq!(layout_table(&rows), ["a    bb", "ccc  d"]);
+    assert_eq!(format_table(&rows), ["a    bb", "ccc  d"]);
 }
--- a/cli/tests/test_explain.rs
+++ b/cli/tests/test_explain.rs
@@ -1,4 +1,4 @@
-//! Tests of `lagoonctl explain`, from a file and from the platform.
+//! Tests of `lagoonctl explain` with a file and with the platform as the source.
 
 use argh::FromArgs;
 use lagoonctl::command_error::CommandError;
@@ -15,7 +15,7 @@
     service: &'static str,
     upstream: &'static str,
     code: ResultCode,
-    says: &'static str,
+    expected_text: &'static str,
 }
 
 async fn explain(
@@ -23,9 +23,9 @@
     upstream: &str,
     source: [&str; 2],
 ) -> Result<CommandReport, CommandError> {
-    let words = ["explain", "--service", service, "--upstream", upstream];
-    let words: Vec<&str> = words.into_iter().chain(source).collect();
-    let args = CtlArgs::from_args(&["lagoonctl"], &words).unwrap();
+    let arguments = ["explain", "--service", service, "--upstream", upstream];
+    let arguments: Vec<&str> = arguments.into_iter().chain(source).collect();
+    let args = CtlArgs::from_args(&["lagoonctl"], &arguments).unwrap();
     run(args.command).await
 }
 
@@ -35,19 +35,19 @@
             service: "ledger",
             upstream: "ledger-zig-a-1",
             code: ResultCode::Success,
-            says: "ledger-zig-a-1 may take new traffic of ledger",
+            expected_text: "ledger-zig-a-1 may take new traffic of ledger",
         },
         ExplainCase {
             service: "certdocs",
             upstream: "ledger-zig-a-1",
             code: ResultCode::NotCarried,
-            says: "does not hold: its `service` is `ledger`",
+            expected_text: "does not hold: its `service` is `ledger`",
         },
         ExplainCase {
             service: "ledger",
             upstream: "ledger-bign-1",
             code: ResultCode::NotCarried,
-            says: "it is draining",
+            expected_text: "it is draining",
         },
     ]
 }
@@ -59,7 +59,10 @@
         let report = explain(case.service, case.upstream, source).await.unwrap();
         let name = format!("{} on {}", case.service, case.upstream);
         assert_eq!(report.code, case.code, "{name}");
-        assert!(report.lines.join("\n").contains(case.says), "{report:?}");
+        assert!(
+            report.lines.join("\n").contains(case.expected_text),
+            "{report:?}"
+        );
     }
 }
 
@@ -80,8 +83,8 @@
 
 #[tokio::test]
 async fn test_explain_unknown_name_lists_known() {
-    let refused = explain("ledgr", "ledger-zig-a-1", ["--config", EXAMPLE]).await;
-    let error = refused.unwrap_err();
+    let result = explain("ledgr", "ledger-zig-a-1", ["--config", EXAMPLE]).await;
+    let error = result.unwrap_err();
     assert_eq!(error.code(), ResultCode::UsageWrong);
     let text = error.to_string();
     assert!(
--- a/cli/tests/test_hosts.rs
+++ b/cli/tests/test_hosts.rs
@@ -1,4 +1,4 @@
-//! Tests of the commands that ask hosts: what is shown, and when they end.
+//! Tests of the commands that read the status of hosts: their output, and when they end.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use serde_json::Value;
 use tokio::net::TcpSocket;
 
-/// A host that forwards packets and believes one upstream to be silent.
+/// A host that runs lagoon-packet and has ejected one upstream.
 struct ForwardingHost;
 
 impl AdminSource for ForwardingHost {
@@ -81,7 +81,7 @@
             measured_ago: Some(Duration::from_millis(340)),
             classes: vec![class(0, &[Some(2)]), class(1, &[Some(3), None])],
         };
-        let calm_service = ServiceStatus {
+        let uncontended_service = ServiceStatus {
             name: "wuno96b".into(),
             contended: false,
             pressure: 0,
@@ -102,7 +102,7 @@
                 flows: 3,
             }],
             routes: vec![route, plain_route],
-            services: vec![service, calm_service],
+            services: vec![service, uncontended_service],
             upstreams: vec![upstream],
             ..PacketStatus::default()
         };
@@ -110,13 +110,13 @@
     }
 }
 
-/// A host whose configuration moves on by one version each time it is asked.
+/// A host whose configuration version increases by one with each status request.
 #[derive(Default)]
-struct MovingHost {
+struct AdvancingHost {
     status: Mutex<HostStatus>,
 }
 
-impl AdminSource for MovingHost {
+impl AdminSource for AdvancingHost {
     fn metrics_text(&self) -> String {
         String::new()
     }
@@ -135,28 +135,29 @@
 async fn start_host(status: HostStatus) -> SocketAddr {
     let listener = bind_admin("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let host = MovingHost {
+    let host = AdvancingHost {
         status: Mutex::new(status),
     };
     tokio::spawn(serve_admin(listener, Arc::new(host)));
     address
 }
 
-/// An address that refuses connections; it is bound, so that no other test can take it.
-fn silent_address() -> (TcpSocket, String) {
+/// Returns an address that refuses connections. The socket is bound but does not listen, so that no
+/// other test can use the address.
+fn unreachable_address() -> (TcpSocket, String) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap().to_string();
     (socket, address)
 }
 
-async fn ctl(words: &[&str]) -> CommandReport {
-    let args = CtlArgs::from_args(&["lagoonctl"], words).unwrap();
+async fn ctl(arguments: &[&str]) -> CommandReport {
+    let args = CtlArgs::from_args(&["lagoonctl"], arguments).unwrap();
     run(args.command).await.unwrap()
 }
 
 #[tokio::test]
-async fn test_status_names_silent_host() {
+async fn test_status_shows_unreachable_host() {
     let alive = start_host(HostStatus {
         host: 4,
         hosts_alive: 8,
@@ -164,8 +165,8 @@
         ..HostStatus::default()
     });
     let alive = alive.await.to_string();
-    let (_bound, silent) = silent_address();
-    let report = ctl(&["status", "--host", &alive, "--host", &silent]).await;
+    let (_bound, unreachable) = unreachable_address();
+    let report = ctl(&["status", "--host", &alive, "--host", &unreachable]).await;
     assert_eq!(report.code, ResultCode::SourceUnreachable);
     assert_eq!(report.json["hosts"][0]["status"]["config_version"], 1);
     assert!(report.lines[1].ends_with("ready"), "{:?}", report.lines);
@@ -177,24 +178,24 @@
 }
 
 #[tokio::test]
-async fn test_forwarders_show_what_they_believe() {
+async fn test_forwarders_show_hosts_and_upstreams() {
     let listener = bind_admin("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(serve_admin(listener, Arc::new(ForwardingHost)));
-    let (_bound, silent) = silent_address();
-    let words = [
+    let (_bound, unreachable) = unreachable_address();
+    let arguments = [
         "forwarders",
         "--host",
         &address,
         "--host",
-        &silent,
+        &unreachable,
         "--upstreams",
     ];
-    let report = ctl(&words).await;
+    let report = ctl(&arguments).await;
     assert_eq!(report.code, ResultCode::SourceUnreachable);
     assert!(report.lines[1].starts_with("entry-1"), "{:?}", report.lines);
     assert!(report.lines[1].ends_with("ready"), "{:?}", report.lines);
-    assert!(report.lines[1].contains(" 10.0.0.7 "), "its reader");
+    assert!(report.lines[1].contains(" 10.0.0.7 "), "the reader");
     assert!(report.lines[1].contains(" b "), "the evacuated zone");
     assert!(
         report.lines[2].contains("does not answer"),
@@ -206,13 +207,13 @@
     assert!(upstream.ends_with("1500ms ago"), "{upstream}");
 }
 
-/// A line of a table, by its cells.
+/// Splits a table line into its cells.
 fn cells(line: &str) -> Vec<&str> {
     line.split_whitespace().collect()
 }
 
 #[tokio::test]
-async fn test_forwarders_show_the_routes_that_they_hold() {
+async fn test_forwarders_show_routes() {
     let listener = bind_admin("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(serve_admin(listener, Arc::new(ForwardingHost)));
@@ -235,20 +236,20 @@
 }
 
 #[tokio::test]
-async fn test_forwarders_show_which_services_are_contended() {
+async fn test_forwarders_show_contended_services() {
     let listener = bind_admin("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(serve_admin(listener, Arc::new(ForwardingHost)));
-    let (_bound, silent) = silent_address();
-    let words = [
+    let (_bound, unreachable) = unreachable_address();
+    let arguments = [
         "forwarders",
         "--host",
         &address,
         "--host",
-        &silent,
+        &unreachable,
         "--services",
     ];
-    let report = ctl(&words).await;
+    let report = ctl(&arguments).await;
     assert_eq!(report.code, ResultCode::SourceUnreachable);
     let lines: Vec<Vec<&str>> = report.lines.iter().map(|line| cells(line)).collect();
     let expected = [
@@ -259,54 +260,54 @@
 }
 
 #[tokio::test]
-async fn test_evacuation_ends_when_every_host_is_done() {
+async fn test_evacuation_ends_when_all_hosts_applied_it() {
     struct Case {
         name: &'static str,
-        words: &'static [&'static str],
-        with_silent: bool,
+        arguments: &'static [&'static str],
+        with_unreachable: bool,
         code: ResultCode,
         cell: &'static str,
     }
     let cases = [
         Case {
             name: "evacuated",
-            words: &["--zone", "b"],
-            with_silent: false,
+            arguments: &["--zone", "b"],
+            with_unreachable: false,
             code: ResultCode::Success,
             cell: "2500ms",
         },
         Case {
             name: "flows are left",
-            words: &["--zone", "b", "--empty"],
-            with_silent: false,
+            arguments: &["--zone", "b", "--empty"],
+            with_unreachable: false,
             code: ResultCode::NotConverged,
             cell: "yes",
         },
         Case {
             name: "not restored",
-            words: &["--zone", "b", "--restored"],
-            with_silent: false,
+            arguments: &["--zone", "b", "--restored"],
+            with_unreachable: false,
             code: ResultCode::NotConverged,
             cell: "yes",
         },
         Case {
             name: "another zone",
-            words: &["--zone", "c"],
-            with_silent: false,
+            arguments: &["--zone", "c"],
+            with_unreachable: false,
             code: ResultCode::NotConverged,
             cell: "no",
         },
         Case {
             name: "another zone is restored",
-            words: &["--zone", "c", "--restored"],
-            with_silent: false,
+            arguments: &["--zone", "c", "--restored"],
+            with_unreachable: false,
             code: ResultCode::Success,
             cell: "no",
         },
         Case {
             name: "a host does not answer",
-            words: &["--zone", "b"],
-            with_silent: true,
+            arguments: &["--zone", "b"],
+            with_unreachable: true,
             code: ResultCode::NotConverged,
             cell: "yes",
         },
@@ -314,14 +315,14 @@
     let listener = bind_admin("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(serve_admin(listener, Arc::new(ForwardingHost)));
-    let (_bound, silent) = silent_address();
+    let (_bound, unreachable) = unreachable_address();
     for case in cases {
-        let mut words = vec!["evacuation", "--wait", "1ms", "--host", &address];
-        if case.with_silent {
-            words.extend(["--host", &silent]);
+        let mut arguments = vec!["evacuation", "--wait", "1ms", "--host", &address];
+        if case.with_unreachable {
+            arguments.extend(["--host", &unreachable]);
         }
-        words.extend(case.words);
-        let report = ctl(&words).await;
+        arguments.extend(case.arguments);
+        let report = ctl(&arguments).await;
         assert_eq!(report.code, case.code, "{}", case.name);
         let line = &report.lines[1];
         assert!(line.contains(case.cell), "{}: {line}", case.name);
@@ -337,9 +338,9 @@
 }
 
 #[tokio::test]
-async fn test_watch_gives_up_when_time_is_over() {
+async fn test_watch_ends_at_timeout() {
     let host = start_host(HostStatus::default()).await.to_string();
-    let words = [
+    let arguments = [
         "watch",
         "--host",
         &host,
@@ -348,19 +349,19 @@
         "--wait",
         "1ms",
     ];
-    let report = ctl(&words).await;
+    let report = ctl(&arguments).await;
     assert_eq!(report.code, ResultCode::NotConverged);
 }
 
 #[tokio::test]
-async fn test_drain_ends_when_hosts_are_done_or_gone() {
+async fn test_drain_ends_when_hosts_are_drained_or_stopped() {
     let draining = start_host(HostStatus {
         draining: true,
         ..HostStatus::default()
     });
     let draining = draining.await.to_string();
-    let (_bound, gone) = silent_address();
-    let report = ctl(&["drain", "--host", &draining, "--host", &gone]).await;
+    let (_bound, stopped) = unreachable_address();
+    let report = ctl(&["drain", "--host", &draining, "--host", &stopped]).await;
     assert_eq!(report.code, ResultCode::Success);
     let busy = start_host(HostStatus {
         draining: true,
--- a/daemon/src/admin_server.rs
+++ b/daemon/src/admin_server.rs
@@ -1,4 +1,4 @@
-//! What operators and their tools read from a daemon over HTTP: metrics, health and status.
+//! HTTP server for a daemon's metrics, health and status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,22 +11,22 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-/// What a daemon shows of itself.
+/// Source of the data that the admin server serves.
 pub trait AdminSource: Send + Sync {
-    /// Every metric in the text format of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     fn metrics_text(&self) -> String;
 
-    /// Why it cannot serve at present, or `None` when it can.
+    /// Returns why the daemon cannot serve at present; `None` if it can.
     fn unready_reason(&self) -> Option<String>;
 
-    /// Its status, for `lagoonctl`.
+    /// Returns the status as `lagoonctl` reads it.
     fn status(&self) -> Value;
 }
 
 /// Serves `/metrics`, `/healthz`, `/readyz` and `/v1/status` until the task is aborted.
 ///
-/// `/healthz` answers as long as the process runs; `/readyz` answers 503 with the reason while the
-/// daemon cannot serve.
+/// `/healthz` responds as long as the process runs. `/readyz` responds with 503 and the reason
+/// while the daemon cannot serve.
 pub async fn serve_admin(listener: TcpListener, source: Arc<dyn AdminSource>) {
     let router = Router::new()
         .route("/metrics", get(read_metrics))
@@ -35,7 +35,7 @@
         .route("/v1/status", get(read_status))
         .with_state(source);
     if let Err(error) = axum::serve(listener, router).await {
-        log::error!("the admin server ended: {error}");
+        log::error!("admin server failed: {error}");
     }
 }
 
--- a/daemon/src/bin/lagoon-entry.rs
+++ b/daemon/src/bin/lagoon-entry.rs
@@ -1,4 +1,4 @@
-//! The data daemon of an entry host.
+//! The entry daemon of an entry host.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/daemon/src/control_accept.rs
+++ b/daemon/src/control_accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections to a control daemon: of its entry daemon, and of other control daemons.
+//! Accepts connections to a control daemon from its entry daemon and from other control daemons.
 
 use std::net::SocketAddr;
 
@@ -26,7 +26,7 @@
     let mut link: LinkId = 0;
     loop {
         let (stream, peer) = listener.accept().await?;
-        // Even; the links that this side opens have odd numbers.
+        // Accepted links have even numbers; links that this side opens have odd numbers.
         link += 2;
         let accepted = AcceptedStream {
             stream,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A connection that has not said yet what it is.
+/// An accepted connection whose type is not known yet.
 struct AcceptedStream {
     stream: TcpStream,
     peer: SocketAddr,
@@ -64,7 +64,7 @@
         if path == PEER_PATH {
             accept_link(self.identity, socket, self.link, events).await;
         } else if self.peer.ip().is_loopback() {
-            // The entry daemon of this host proves nothing; it only is served on loopback.
+            // The entry daemon of this host does not authenticate, so only loopback is served.
             feed.serve(socket).await;
         }
     }
--- a/daemon/src/control_admin.rs
+++ b/daemon/src/control_admin.rs
@@ -1,4 +1,4 @@
-//! What the control daemon shows to operators: its metrics and its last status.
+//! The control daemon's metrics and last status for operators.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -18,14 +18,14 @@
 use crate::admin_server::AdminSource;
 use crate::daemon_metrics::encode_registry;
 
-/// Labels of a counter by result.
+/// Labels of a counter by result code.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ResultLabels {
     code: u16,
     reason: String,
 }
 
-/// Labels of a gauge by what messages are for.
+/// Labels of a gauge by message class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ClassLabels {
     class: &'static str,
@@ -33,7 +33,7 @@
 
 type NumberGauge = Gauge<u64, AtomicU64>;
 
-/// Shared by the daemon's loop and the admin server.
+/// Metrics and status, shared by the daemon's event loop and the admin server.
 pub struct ControlAdmin {
     registry: Registry,
     results: Family<ResultLabels, Counter>,
@@ -42,7 +42,7 @@
     status: Mutex<Option<ControlStatus>>,
 }
 
-/// A gauge: its name, what it tells, and where its value is found.
+/// A gauge: its name, its help text and the function that reads its value.
 struct ControlGauge {
     name: &'static str,
     help: &'static str,
@@ -145,7 +145,7 @@
 }
 
 impl ControlAdmin {
-    /// Counts a result.
+    /// Counts a result code.
     pub fn count_result(&self, code: ResultCode) {
         let labels = ResultLabels {
             code: code.number(),
@@ -154,8 +154,8 @@
         self.results.get_or_create(&labels).inc();
     }
 
-    /// Takes the state of the core.
-    pub fn observe(&self, core: &ControlCore) {
+    /// Updates the gauges and the status from the core.
+    pub fn update(&self, core: &ControlCore) {
         let status = core.status();
         for (control_gauge, gauge) in &self.gauges {
             gauge.set((control_gauge.read)(core, &status));
--- a/daemon/src/control_daemon.rs
+++ b/daemon/src/control_daemon.rs
@@ -1,7 +1,7 @@
-//! The control daemon: sockets around the control core.
+//! The control daemon, which does the network I/O of the control core.
 //!
-//! It calls the platform, keeps links to the control daemons of other hosts, and hands its entry
-//! daemon the newest configuration and list of hosts, at once when that connects.
+//! It calls the platform, keeps links to the control daemons of other hosts, and sends its entry
+//! daemon the newest configuration and host list, at once when the entry daemon connects.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -39,14 +39,14 @@
 use crate::peer_link::LinkIdentity;
 use crate::peer_link::open_link;
 use crate::peer_registry::PeerRegistry;
-use crate::platform_client::CallEnd;
+use crate::platform_client::CallResult;
 use crate::platform_client::PlatformClient;
 
-/// Events that may wait for the core.
-const EVENT_QUEUE: usize = 1_024;
+/// Maximum number of events that wait for the core.
+const EVENT_QUEUE_LEN: usize = 1_024;
 
-/// Pause between attempts to reach the peers that the settings name.
-const SEED_PAUSE: Duration = Duration::from_secs(5);
+/// Time between attempts to connect to the seed peers in the settings.
+const SEED_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why the control daemon stops.
 #[derive(Debug, Snafu)]
@@ -60,7 +60,7 @@
         source: std::io::Error,
     },
     /// The listener failed.
-    #[snafu(display("the listener failed: {source}"))]
+    #[snafu(display("listener error: {source}"))]
     Listener {
         /// The system's error.
         source: std::io::Error,
@@ -84,7 +84,7 @@
 }
 
 impl ControlDaemon {
-    /// Binds the listeners that the settings name.
+    /// Binds the listeners at the addresses in the settings.
     pub async fn bind(settings: &ControlSettings) -> Result<Self, ControlError> {
         let address = settings.control_address;
         let listener = TcpListener::bind(address)
@@ -101,12 +101,12 @@
         })
     }
 
-    /// The address that was bound.
+    /// Returns the bound address.
     pub fn address(&self) -> Result<SocketAddr, ControlError> {
         self.listener.local_addr().context(ListenerSnafu)
     }
 
-    /// The address of metrics, health and status, if the settings ask for them.
+    /// Returns the address of metrics, health and status, if the settings have one.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         let listener = self.admin_listener.as_ref()?;
         listener.local_addr().ok()
@@ -114,7 +114,7 @@
 
     /// Serves until `shutdown` resolves.
     pub async fn run(self, shutdown: impl Future<Output = ()>) -> Result<(), ControlError> {
-        let (links, link_events) = mpsc::channel(EVENT_QUEUE);
+        let (links, link_events) = mpsc::channel(EVENT_QUEUE_LEN);
         let mut shell = ControlShell::new(&self.settings, links.clone());
         let admin = self.admin_listener.map(|listener| {
             let source = Arc::clone(&shell.admin);
@@ -133,7 +133,7 @@
     }
 }
 
-/// Ends a task when it is dropped.
+/// Aborts a task when it is dropped.
 struct TaskGuard(JoinHandle<()>);
 
 impl Drop for TaskGuard {
@@ -142,25 +142,25 @@
     }
 }
 
-/// The core with the sockets that carry out its actions.
+/// The core with the network clients that execute its actions.
 struct ControlShell {
     core: ControlCore,
     identity: LinkIdentity,
     seed_peers: Vec<SocketAddr>,
-    next_seeds: Instant,
+    next_seed_attempt: Instant,
     peers: PeerRegistry,
     platform: PlatformClient,
     entry_feed: EntryFeed,
     admin: Arc<ControlAdmin>,
     links: mpsc::Sender<LinkEvent>,
-    answer_sender: mpsc::Sender<(CallId, CallEnd)>,
-    answers: mpsc::Receiver<(CallId, CallEnd)>,
+    response_sender: mpsc::Sender<(CallId, CallResult)>,
+    responses: mpsc::Receiver<(CallId, CallResult)>,
     next_link: u64,
 }
 
 impl ControlShell {
     fn new(settings: &ControlSettings, links: mpsc::Sender<LinkEvent>) -> Self {
-        let (answer_sender, answers) = mpsc::channel(EVENT_QUEUE);
+        let (response_sender, responses) = mpsc::channel(EVENT_QUEUE_LEN);
         Self {
             core: ControlCore::new(Instant::now(), core_identity(settings)),
             identity: LinkIdentity {
@@ -168,14 +168,14 @@
                 key: settings.shared_key,
             },
             seed_peers: settings.seed_peers.clone(),
-            next_seeds: Instant::now(),
+            next_seed_attempt: Instant::now(),
             peers: PeerRegistry::default(),
             platform: PlatformClient::new(settings.platform_address),
             entry_feed: EntryFeed::default(),
             admin: Arc::default(),
             links,
-            answer_sender,
-            answers,
+            response_sender,
+            responses,
             next_link: 1,
         }
     }
@@ -186,14 +186,14 @@
         loop {
             let event = tokio::select! {
                 _ = ticks.tick() => {
-                    self.admin.observe(&self.core);
-                    self.ask_seeds();
+                    self.admin.update(&self.core);
+                    self.connect_seed_peers();
                     Some(ControlEvent::Tick)
                 }
-                Some(event) = link_events.recv() => self.link_event(event),
-                Some((call, end)) = self.answers.recv() => Some(ControlEvent::PlatformAnswer {
+                Some(event) = link_events.recv() => self.handle_link_event(event),
+                Some((call, end)) = self.responses.recv() => Some(ControlEvent::PlatformResponse {
                     call,
-                    answer: end.answer,
+                    answer: end.response,
                     bytes: end.bytes,
                 }),
             };
@@ -203,17 +203,17 @@
         }
     }
 
-    fn link_event(&mut self, event: LinkEvent) -> Option<ControlEvent> {
+    fn handle_link_event(&mut self, event: LinkEvent) -> Option<ControlEvent> {
         match event {
             LinkEvent::Opened(open) => {
                 let host = open.host;
-                let used = self.peers.insert(open);
-                used.then_some(ControlEvent::PeerUp(host))
+                let is_in_use = self.peers.insert(open);
+                is_in_use.then_some(ControlEvent::PeerUp(host))
             }
             LinkEvent::Failed(host) => Some(ControlEvent::PeerDown(host)),
             LinkEvent::Closed { host, link } => {
-                let used = self.peers.remove(host, link);
-                used.then_some(ControlEvent::PeerDown(host))
+                let is_in_use = self.peers.remove(host, link);
+                is_in_use.then_some(ControlEvent::PeerDown(host))
             }
             LinkEvent::Message { host, link, bytes } => {
                 let current = self.peers.is_current(host, link);
@@ -226,11 +226,11 @@
         let mut actions = Vec::new();
         self.core.handle(Instant::now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute_action(action);
         }
     }
 
-    fn carry_out(&mut self, action: ControlAction) {
+    fn execute_action(&mut self, action: ControlAction) {
         match action {
             ControlAction::Connect { host, address } => self.connect(host, address),
             ControlAction::Disconnect(host) => self.peers.disconnect(host),
@@ -250,7 +250,7 @@
             }
             ControlAction::Refused { version, fault } => {
                 let code = ResultCode::ConfigInvalid.number();
-                log::error!(code, version; "published state refused whole: {fault}");
+                log::error!(code, version; "published state rejected as a whole: {fault}");
             }
             ControlAction::Count(code) => self.admin.count_result(code),
         }
@@ -262,15 +262,15 @@
         tokio::spawn(open_link(self.identity, Some(host), address, link, links));
     }
 
-    /// A host that starts while the platform is away knows no list of hosts; the settings may name
-    /// some to ask.
-    fn ask_seeds(&mut self) {
+    /// Connects to the seed peers in the settings while there is neither configuration nor a link.
+    /// A host that starts while the platform is unreachable has no host list to find peers in.
+    fn connect_seed_peers(&mut self) {
         let now = Instant::now();
         let status = self.core.status();
-        if status.ready || status.links > 0 || now < self.next_seeds {
+        if status.ready || status.links > 0 || now < self.next_seed_attempt {
             return;
         }
-        self.next_seeds = now + SEED_PAUSE;
+        self.next_seed_attempt = now + SEED_RETRY_INTERVAL;
         for address in self.seed_peers.clone() {
             let link = self.next_link();
             let links = self.links.clone();
@@ -278,7 +278,8 @@
         }
     }
 
-    /// Links that this side opens have odd numbers, accepted ones even numbers.
+    /// Returns the number of the next link that this side opens. It is odd; accepted links have
+    /// even numbers.
     fn next_link(&mut self) -> u64 {
         self.next_link += 2;
         self.next_link
@@ -286,11 +287,11 @@
 
     fn call_platform(&self, call: CallId, request: PlatformRequest) {
         let client = self.platform.clone();
-        let answers = self.answer_sender.clone();
+        let responses = self.response_sender.clone();
         tokio::spawn(async move {
             let end = client.call(&request).await;
-            // The receiver only goes away with the daemon.
-            let _daemon_ended = answers.send((call, end)).await;
+            // Sending fails only when the daemon stops, because it owns the receiver.
+            let _daemon_ended = responses.send((call, end)).await;
         });
     }
 }
@@ -303,8 +304,8 @@
         prefixes: scope_prefixes(&settings.region, &settings.zones),
         send_rate: u32::try_from(settings.byte_budget).unwrap_or(u32::MAX),
         read_rate: u32::try_from(settings.read_budget).unwrap_or(u32::MAX),
-        // Grows with each start as long as the host's clock is not set back by days.
-        first_beat: since_epoch.map_or(0, |since| since.as_secs()),
+        // Larger at each start unless the host's clock is set back by days.
+        first_heartbeat: since_epoch.map_or(0, |since| since.as_secs()),
         seed: rand::random(),
     }
 }
--- a/daemon/src/control_link.rs
+++ b/daemon/src/control_link.rs
@@ -1,4 +1,4 @@
-//! Messages between the two daemons of one entry host, in CBOR over a websocket on loopback.
+//! Messages between the two daemons of an entry host, as CBOR over a WebSocket on loopback.
 
 use std::sync::Arc;
 
@@ -17,16 +17,16 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_tungstenite::tungstenite::Message;
 
-/// What the control daemon tells the entry daemon.
+/// A message from the control daemon to the entry daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// A configuration to put in force.
+    /// A configuration to apply.
     Config(Arc<ConfigSnapshot>),
-    /// The entry hosts believed usable.
+    /// The list of entry hosts.
     Hosts(Arc<HostView>),
 }
 
-/// Why a message of the link cannot be read or written.
+/// Why a message cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
     /// The message cannot be encoded.
@@ -36,29 +36,29 @@
         source: ciborium::ser::Error<std::io::Error>,
     },
     /// The message cannot be decoded.
-    #[snafu(display("cannot decode a message of the other daemon: {source}"))]
+    #[snafu(display("cannot decode a message from the other daemon: {source}"))]
     Decode {
         /// The codec's error.
         source: ciborium::de::Error<std::io::Error>,
     },
 }
 
-/// Encodes a message as a binary websocket message.
+/// Encodes a message as a binary WebSocket message.
 pub fn encode_message<T: Serialize>(message: &T) -> Result<Message, LinkError> {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes).context(EncodeSnafu)?;
     Ok(Message::binary(bytes))
 }
 
-/// Decodes a binary websocket message.
+/// Decodes the bytes of a binary WebSocket message.
 pub fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, LinkError> {
     ciborium::from_reader(bytes).context(DecodeSnafu)
 }
 
-/// The newest of each message, encoded once, for every entry daemon that connects.
+/// The newest message of each kind, encoded once, for every entry daemon that connects.
 ///
-/// An entry daemon that restarts gets what is in force at once; with a queue of messages it would
-/// have waited for the next change.
+/// An entry daemon that restarts gets the present configuration at once. With a queue of messages
+/// it would have to wait for the next change.
 #[derive(Clone)]
 pub struct EntryFeed {
     hosts: watch::Sender<Option<Message>>,
@@ -75,7 +75,7 @@
 }
 
 impl EntryFeed {
-    /// Replaces the newest message of its kind.
+    /// Replaces the newest message of the same kind.
     pub fn publish(&self, message: &ControlMessage) {
         let newest = match message {
             ControlMessage::Config(_) => &self.config,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Sends what is newest, and each newer message, until the link ends.
+    /// Sends the newest messages, and each newer message, until the link ends.
     pub async fn serve<S: AsyncRead + AsyncWrite + Unpin>(&self, mut socket: WebSocketStream<S>) {
         let mut hosts = self.hosts.subscribe();
         let mut config = self.config.subscribe();
--- a/daemon/src/daemon_exit.rs
+++ b/daemon/src/daemon_exit.rs
@@ -1,4 +1,4 @@
-//! Ends a daemon with a log record and an exit code that name the numbered result.
+//! Exit of a daemon, with the result code in a log record and as the exit code.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -7,7 +7,7 @@
 
 /// An error that ends a daemon.
 pub trait DaemonError: Error {
-    /// The numbered result.
+    /// The result code of the error.
     fn code(&self) -> ResultCode;
 }
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// Logs how a daemon ended and gives its exit code.
+/// Logs the error that ended a daemon, if any, and returns the exit code.
 pub fn daemon_exit(result: Result<(), Box<dyn DaemonError>>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/daemon/src/daemon_metrics.rs
+++ b/daemon/src/daemon_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a daemon, in the text format of Prometheus.
+//! Counters and gauges of the entry daemon in the Prometheus text format.
 
 use std::sync::atomic::AtomicU64;
 
@@ -11,20 +11,20 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Labels of a counter by result.
+/// Labels of a counter by result code.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ResultLabels {
     code: u16,
     reason: String,
 }
 
-/// Labels of a counter by the link that datagrams belong to.
+/// Labels of a counter by link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct LinkLabels {
     link: &'static str,
 }
 
-/// The links of an entry host.
+/// The links of an entry host, by the other side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramLink {
     /// Callers.
@@ -35,14 +35,14 @@
     Upstream,
 }
 
-/// What is counted of one link.
+/// Byte counters of one link.
 struct LinkCounters {
     received: Counter,
     sent: Counter,
 }
 
 impl DatagramLink {
-    /// Every link, in the order of its discriminant.
+    /// All links in order of discriminant.
     const ALL: [Self; 3] = [Self::Caller, Self::Peer, Self::Upstream];
 
     fn label(self) -> LinkLabels {
@@ -62,7 +62,8 @@
     retries: Family<ResultLabels, Counter>,
     received_bytes: Family<LinkLabels, Counter>,
     sent_bytes: Family<LinkLabels, Counter>,
-    /// The counters of the two families above, by link: looking them up takes a lock a datagram.
+    /// The counters of the two families above, indexed by link. A lookup in a family would take a
+    /// lock for each datagram.
     link_counters: [LinkCounters; DatagramLink::ALL.len()],
     config_version: Gauge<u64, AtomicU64>,
     hosts_alive: Gauge<u64, AtomicU64>,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Counts a refusal or a dropped datagram.
+    /// Counts a rejected request or a dropped datagram.
     pub fn count_result(&self, code: ResultCode) {
         self.results.get_or_create(&result_labels(code)).inc();
     }
@@ -156,20 +157,20 @@
         self.retries.get_or_create(&result_labels(code)).inc();
     }
 
-    /// Counts a datagram received.
+    /// Counts the bytes of a received datagram.
     pub fn count_received(&self, link: DatagramLink, bytes: usize) {
         let counter = &self.link_counters[link as usize].received;
         counter.inc_by(bytes as u64);
     }
 
-    /// Counts a datagram sent.
+    /// Counts the bytes of a sent datagram.
     pub fn count_sent(&self, link: DatagramLink, bytes: usize) {
         let counter = &self.link_counters[link as usize].sent;
         counter.inc_by(bytes as u64);
     }
 
-    /// Takes the gauges from a status.
-    pub fn observe(&self, status: &HostStatus) {
+    /// Sets the gauges from a status.
+    pub fn update(&self, status: &HostStatus) {
         self.config_version.set(status.config_version.unwrap_or(0));
         self.hosts_alive.set(status.hosts_alive as u64);
         self.flows.set(status.flows as u64);
@@ -177,13 +178,14 @@
         self.draining.set(u64::from(status.draining));
     }
 
-    /// Every metric as text.
+    /// Returns all metrics as text.
     pub fn text(&self) -> String {
         encode_registry(&self.registry)
     }
 }
 
-/// A registry as text; the encoder only fails when its target does, and a string does not.
+/// Returns the metrics of a registry as text. Writing to a string does not fail, so no error is
+/// expected.
 pub fn encode_registry(registry: &Registry) -> String {
     let mut text = String::new();
     if let Err(error) = encode(&mut text, registry) {
--- a/daemon/src/entry_admin.rs
+++ b/daemon/src/entry_admin.rs
@@ -1,4 +1,4 @@
-//! What the entry daemon shows to operators: its metrics and its last status.
+//! The entry daemon's metrics and last status for operators.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,7 +9,7 @@
 use crate::admin_server::AdminSource;
 use crate::daemon_metrics::EntryMetrics;
 
-/// Shared by the loop that carries datagrams and the admin server.
+/// Metrics and status, shared by the daemon's event loop and the admin server.
 #[derive(Default)]
 pub struct EntryAdmin {
     /// The counters and gauges.
@@ -18,9 +18,9 @@
 }
 
 impl EntryAdmin {
-    /// Takes a new status.
-    pub fn observe(&self, status: HostStatus) {
-        self.metrics.observe(&status);
+    /// Replaces the status and sets the gauges from it.
+    pub fn update(&self, status: HostStatus) {
+        self.metrics.update(&status);
         *self.lock() = status;
     }
 
--- a/daemon/src/entry_daemon.rs
+++ b/daemon/src/entry_daemon.rs
@@ -1,4 +1,4 @@
-//! The data daemon: datagrams in and out, every decision by the core.
+//! The entry daemon, which receives and sends datagrams as its decision core decides.
 
 use std::future::Future;
 use std::hash::BuildHasher;
@@ -18,7 +18,7 @@
 use lagoonproxy::host_core::HostCore;
 use lagoonproxy::host_core::TICK;
 use lagoonproxy::host_event::HostEvent;
-use lagoonproxy::ids::Incarnation;
+use lagoonproxy::ids::Generation;
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy::service_policy::ServicePolicy;
 use lagoonproxy::unit_text::format_duration;
@@ -42,12 +42,12 @@
 use crate::daemon_metrics::DatagramLink;
 use crate::entry_admin::EntryAdmin;
 
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two statuses shown to operators; a status scans the table of requests.
-const STATUS_PAUSE: Duration = Duration::from_millis(250);
-const CONTROL_QUEUE: usize = 16;
-/// Datagrams taken from one socket before the others have their turn.
-const BATCH: usize = 64;
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Minimum time between two published statuses. Building a status scans the request table.
+const STATUS_INTERVAL: Duration = Duration::from_millis(250);
+const CONTROL_QUEUE_LEN: usize = 16;
+/// Maximum number of datagrams read from one socket before the other sockets are served.
+const MAX_BATCH_DATAGRAMS: usize = 64;
 
 /// Why the entry daemon stops.
 #[derive(Debug, Snafu)]
@@ -61,7 +61,7 @@
         source: std::io::Error,
     },
     /// A socket failed.
-    #[snafu(display("a socket failed: {source}"))]
+    #[snafu(display("socket error: {source}"))]
     Socket {
         /// The system's error.
         source: std::io::Error,
@@ -89,42 +89,42 @@
     caller_socket: UdpSocket,
     peer_socket: UdpSocket,
     upstream_socket: UdpSocket,
-    /// The datagram received last.
+    /// Buffer of the last received datagram.
     received: Box<FrameBuffer>,
-    /// The datagram sent last.
+    /// Buffer of the last sent datagram.
     sent: Box<FrameBuffer>,
-    /// Empty between events; kept for its room.
+    /// Empty between events; kept to reuse its allocation.
     actions: Vec<HostAction>,
 }
 
-/// What the loop has to do next.
-enum LoopTurn {
+/// The next step of the event loop.
+enum LoopStep {
     Drain,
     Control(ControlMessage),
     Datagrams(DatagramLink),
     Tick,
 }
 
-/// The addresses that were bound, with the ports that the system chose.
+/// The bound addresses, with the ports that the operating system chose.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryAddresses {
-    /// Where callers' datagrams arrive.
+    /// Address for callers' datagrams.
     pub caller: SocketAddr,
-    /// Where peers' datagrams arrive.
+    /// Address for peers' datagrams.
     pub peer: SocketAddr,
-    /// Where upstreams' datagrams arrive.
+    /// Address for upstreams' datagrams.
     pub upstream: SocketAddr,
-    /// Where metrics, health and status are read.
+    /// Address of metrics, health and status.
     pub admin: Option<SocketAddr>,
 }
 
 impl EntryDaemon {
-    /// Binds the sockets that the settings name.
+    /// Binds the sockets at the addresses in the settings.
     pub async fn bind(settings: &EntrySettings) -> Result<Self, EntryError> {
         let key = settings.shared_key.bytes();
         let core_settings = CoreSettings {
             host: settings.host,
-            incarnation: incarnation(),
+            incarnation: start_generation(),
             started: Instant::now(),
             flow_key: key,
             flow_idle: settings.flow_idle,
@@ -148,7 +148,7 @@
         })
     }
 
-    /// The addresses that were bound.
+    /// Returns the bound addresses.
     pub fn addresses(&self) -> Result<EntryAddresses, EntryError> {
         Ok(EntryAddresses {
             caller: self.caller_socket.local_addr().context(SocketSnafu)?,
@@ -161,9 +161,9 @@
         })
     }
 
-    /// Serves until `shutdown` resolves and the drain that it starts is complete.
+    /// Serves until `shutdown` resolves and the drain that follows is complete or times out.
     pub async fn run(mut self, shutdown: impl Future<Output = ()>) -> Result<(), EntryError> {
-        let (control_sender, mut control) = mpsc::channel(CONTROL_QUEUE);
+        let (control_sender, mut control) = mpsc::channel(CONTROL_QUEUE_LEN);
         let reader = tokio::spawn(read_control(self.control_address, control_sender));
         let admin = self.admin_listener.take().map(|listener| {
             let source: Arc<dyn AdminSource> = Arc::<EntryAdmin>::clone(&self.admin);
@@ -186,52 +186,52 @@
         let mut drain_deadline: Option<Instant> = None;
         let mut ticks = tokio::time::interval(TICK);
         loop {
-            let turn = tokio::select! {
+            let step = tokio::select! {
                 () = &mut shutdown, if drain_deadline.is_none() => {
                     drain_deadline = Some(Instant::now() + self.drain_limit);
                     log::info!("draining for {} at most", format_duration(self.drain_limit));
-                    LoopTurn::Drain
+                    LoopStep::Drain
                 }
-                Some(message) = control.recv() => LoopTurn::Control(message),
+                Some(message) = control.recv() => LoopStep::Control(message),
                 ready = self.caller_socket.readable() => {
                     ready.context(SocketSnafu)?;
-                    LoopTurn::Datagrams(DatagramLink::Caller)
+                    LoopStep::Datagrams(DatagramLink::Caller)
                 }
                 ready = self.peer_socket.readable() => {
                     ready.context(SocketSnafu)?;
-                    LoopTurn::Datagrams(DatagramLink::Peer)
+                    LoopStep::Datagrams(DatagramLink::Peer)
                 }
                 ready = self.upstream_socket.readable() => {
                     ready.context(SocketSnafu)?;
-                    LoopTurn::Datagrams(DatagramLink::Upstream)
+                    LoopStep::Datagrams(DatagramLink::Upstream)
                 }
-                _ = ticks.tick() => LoopTurn::Tick,
+                _ = ticks.tick() => LoopStep::Tick,
             };
-            self.observe_status();
-            let drained = match turn {
-                LoopTurn::Drain => self.handle(HostEvent::Drain).await,
-                LoopTurn::Control(message) => self.handle(control_event(message)).await,
-                LoopTurn::Datagrams(link) => self.take_datagrams(link).await?,
-                LoopTurn::Tick => self.handle(HostEvent::Tick).await,
+            self.publish_status();
+            let drained = match step {
+                LoopStep::Drain => self.handle(HostEvent::Drain).await,
+                LoopStep::Control(message) => self.handle(control_event(message)).await,
+                LoopStep::Datagrams(link) => self.handle_datagrams(link).await?,
+                LoopStep::Tick => self.handle(HostEvent::Tick).await,
             };
             if drained {
                 log::info!("drained");
                 return Ok(());
             }
             if drain_deadline.is_some_and(|deadline| deadline <= Instant::now()) {
-                log::warn!(
-                    "not drained in time: {:?}",
-                    self.core.status(Instant::now())
-                );
+                log::warn!("drain timed out: {:?}", self.core.status(Instant::now()));
                 return Ok(());
             }
         }
     }
 
-    /// Takes what a socket holds, a batch at most, so that waiting for sockets costs once a batch
-    /// and no socket keeps the others or the ticks waiting; `true` once drained.
-    async fn take_datagrams(&mut self, link: DatagramLink) -> Result<bool, EntryError> {
-        for _datagram in 0..BATCH {
+    /// Reads and handles the datagrams that a socket holds, at most one batch. Returns whether the
+    /// drain is complete.
+    ///
+    /// A batch saves waiting for the sockets after each datagram; its limit keeps a socket from
+    /// delaying the others and the ticks.
+    async fn handle_datagrams(&mut self, link: DatagramLink) -> Result<bool, EntryError> {
+        for _datagram in 0..MAX_BATCH_DATAGRAMS {
             let Some(received) = self.receive(link)? else {
                 break;
             };
@@ -247,7 +247,8 @@
         Ok(false)
     }
 
-    /// The next datagram of a socket that needs no waiting for, decoded, or why it is dropped.
+    /// Returns the next available datagram of a socket, decoded, or the reason for which it is
+    /// dropped; `None` if there is no datagram.
     fn receive(
         &mut self,
         link: DatagramLink,
@@ -280,41 +281,42 @@
         }))
     }
 
-    /// Shows a new status once the last one is old.
-    fn observe_status(&mut self) {
+    /// Publishes a new status for operators if [`STATUS_INTERVAL`] has passed since the last one.
+    fn publish_status(&mut self) {
         let now = Instant::now();
         if now < self.status_deadline {
             return;
         }
-        self.status_deadline = now + STATUS_PAUSE;
-        self.admin.observe(self.core.status(now));
+        self.status_deadline = now + STATUS_INTERVAL;
+        self.admin.update(self.core.status(now));
     }
 
-    /// Passes an event to the core and carries out its actions; `true` once drained.
+    /// Passes an event to the core and executes the resulting actions. Returns whether the drain is
+    /// complete.
     async fn handle(&mut self, event: HostEvent) -> bool {
         let mut actions = std::mem::take(&mut self.actions);
         self.core.handle(Instant::now(), event, &mut actions);
         let mut drained = false;
         for action in actions.drain(..) {
-            drained |= self.carry_out(action).await;
+            drained |= self.execute_action(action).await;
         }
         self.actions = actions;
         drained
     }
 
-    async fn carry_out(&mut self, action: HostAction) -> bool {
+    async fn execute_action(&mut self, action: HostAction) -> bool {
         let buffer = &mut self.sent;
         let (link, address, encoded) = match action {
             HostAction::ToCaller { caller, frame } => {
-                let encoded = wire_frame::encode_caller_in(&frame, buffer);
+                let encoded = wire_frame::encode_caller_into(&frame, buffer);
                 (DatagramLink::Caller, caller, encoded)
             }
             HostAction::ToPeer { address, frame, .. } => {
-                let encoded = wire_frame::encode_peer_in(&frame, &self.peer_key, buffer);
+                let encoded = wire_frame::encode_peer_into(&frame, &self.peer_key, buffer);
                 (DatagramLink::Peer, address, encoded)
             }
             HostAction::ToUpstream { address, frame } => {
-                let encoded = wire_frame::encode_upstream_in(&frame, buffer);
+                let encoded = wire_frame::encode_upstream_into(&frame, buffer);
                 (DatagramLink::Upstream, address, encoded)
             }
             HostAction::Count(code) => {
@@ -334,7 +336,7 @@
         false
     }
 
-    /// Sends the datagram that stands in the buffer; waits only when the socket is full.
+    /// Sends the datagram in the send buffer. Waits only if the socket's buffer is full.
     async fn send(&mut self, link: DatagramLink, address: SocketAddr, len: usize) {
         let socket = match link {
             DatagramLink::Caller => &self.caller_socket,
@@ -355,8 +357,8 @@
     }
 }
 
-/// A seed that differs from start to start, so that hosts do not draw alike and numbers of asks
-/// from before a restart are not used again.
+/// Returns a random seed that differs at each start, so that hosts make different random choices
+/// and a restarted host does not reuse numbers of earlier slot requests.
 fn start_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
@@ -382,11 +384,11 @@
     }
 }
 
-/// Reads the control daemon's messages and connects anew when the link ends.
+/// Reads the control daemon's messages and reconnects when the link ends.
 async fn read_control(address: SocketAddr, sender: mpsc::Sender<ControlMessage>) {
     while !sender.is_closed() {
         read_link(address, &sender).await;
-        tokio::time::sleep(RECONNECT_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -410,10 +412,12 @@
     }
 }
 
-/// Milliseconds since 1970, larger at each start of this host. Peers ignore a process whose number
-/// is smaller than one they have heard of, so a clock that was set back keeps a host out of claims
-/// until it has caught up, but never makes two processes look like one.
-fn incarnation() -> Incarnation {
+/// Returns the generation of this process in milliseconds since 1970, larger at each start.
+///
+/// Peers ignore a process whose generation is smaller than one that they have heard from. After its
+/// clock was set back, a restarted host therefore gets no lease until the clock has caught up, but
+/// two processes are never taken for one.
+fn start_generation() -> Generation {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-    since_epoch.map_or(0, |since| since.as_millis() as Incarnation)
+    since_epoch.map_or(0, |since| since.as_millis() as Generation)
 }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemons of an entry host: thin shells around the decisions in `lagoonproxy`.
+//! The daemons of an entry host, which do the network I/O of the decision cores in `lagoonproxy`.
 //!
-//! `lagoon-entry` carries datagrams, `lagoon-control` reads the platform. The programs call the
-//! entry points here, and so do tests and the demonstration, in one process.
+//! `lagoon-entry` forwards datagrams and `lagoon-control` reads the platform. Tests and the
+//! demonstration call the same entry points as the programs, within one process.
 
 pub mod admin_server;
 pub mod control_accept;
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,10 +1,10 @@
-//! Logs as JSON lines on standard error; a record about a result has its number as `code`.
+//! Logging as JSON lines on standard error. A record about a result code has its number as `code`.
 
 use logforth::append::Stderr;
 use logforth::layout::JsonLayout;
 use logforth::record::LevelFilter;
 
-/// Sends the records of `log` to standard error, a JSON object a line.
+/// Writes the records of the `log` crate to standard error, one JSON object per line.
 pub fn init() {
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
--- a/daemon/src/peer_link.rs
+++ b/daemon/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! A link between the control daemons of two hosts: CBOR over a websocket, both sides proved.
+//! Links between control daemons: CBOR over a WebSocket with mutual authentication.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,30 +22,31 @@
 use crate::control_link::decode_message;
 use crate::control_link::encode_message;
 
-/// Path that peers open; the entry daemon opens another.
+/// WebSocket path of links between peers; the entry daemon uses another path.
 pub const PEER_PATH: &str = "/peer";
-/// Longest time for opening a link and proving both sides.
-const OPEN_LIMIT: Duration = Duration::from_secs(2);
-/// Messages that may wait for a slow peer; a slower one is cut off and pulls later.
-const LINK_QUEUE: usize = 256;
+/// Maximum time to open a link and to authenticate both sides.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of messages queued for a peer. A slower peer is disconnected and pulls the
+/// changes when it is linked again.
+const LINK_QUEUE_LEN: usize = 256;
 
-/// Number of a link, unique in one process.
+/// Number of a link, unique within a process.
 pub type LinkId = u64;
 
-/// What a host is and knows when it opens or accepts links.
+/// The identity and key that a host authenticates its links with.
 #[derive(Clone, Copy)]
 pub struct LinkIdentity {
-    /// Its number.
+    /// The host's number.
     pub host: HostId,
     /// The key that the user's hosts share.
     pub key: SharedKey,
 }
 
-/// Something that happened to a link.
+/// An event of a link.
 pub enum LinkEvent {
-    /// Both sides are proved.
+    /// The link is open and both sides are authenticated.
     Opened(OpenLink),
-    /// A link could not be opened.
+    /// The link to this host could not be opened.
     Failed(HostId),
     /// A message arrived.
     Message {
@@ -56,7 +57,7 @@
         /// The message.
         bytes: Bytes,
     },
-    /// A link ended.
+    /// The link was closed.
     Closed {
         /// The peer.
         host: HostId,
@@ -65,26 +66,26 @@
     },
 }
 
-/// A link that messages can be sent over; it ends when this is dropped.
+/// An open link to a peer. It is closed when this value is dropped.
 pub struct OpenLink {
     /// The peer.
     pub host: HostId,
     /// The link.
     pub link: LinkId,
-    /// The side that opened it.
+    /// The host that opened the link.
     pub opener: HostId,
-    /// Takes messages for the peer.
+    /// Queue of messages to the peer.
     pub sender: mpsc::Sender<Bytes>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct ProofMessage {
     greeting: LinkGreeting,
-    /// Absent in the first message, which has nothing to prove yet.
+    /// `None` in the first message, which is sent before the nonce of the other side is known.
     proof: Option<u128>,
 }
 
-/// Opens a link and carries it until it ends; `peer` is the host expected there, if it is known.
+/// Opens a link and runs it until it ends. `peer` is the expected host, if it is known.
 pub async fn open_link(
     identity: LinkIdentity,
     peer: Option<HostId>,
@@ -92,28 +93,29 @@
     link: LinkId,
     events: mpsc::Sender<LinkEvent>,
 ) {
-    let opened = tokio::time::timeout(OPEN_LIMIT, connect(identity, address)).await;
+    let opened = tokio::time::timeout(OPEN_TIMEOUT, connect(identity, address)).await;
     let opened = opened.ok().flatten();
     let opened = opened.filter(|(_socket, host)| peer.is_none_or(|peer| peer == *host));
     match (opened, peer) {
-        (Some((socket, host)), _) => carry_link(socket, host, identity.host, link, events).await,
+        (Some((socket, host)), _) => run_link(socket, host, identity.host, link, events).await,
         (None, Some(peer)) => send_event(&events, LinkEvent::Failed(peer)).await,
         (None, None) => {}
     }
 }
 
-/// Proves an accepted link and carries it until it ends.
+/// Authenticates an accepted link and runs it until it ends.
 pub async fn accept_link<S: AsyncRead + AsyncWrite + Unpin>(
     identity: LinkIdentity,
     mut socket: WebSocketStream<S>,
     link: LinkId,
     events: mpsc::Sender<LinkEvent>,
 ) {
-    let proved = tokio::time::timeout(OPEN_LIMIT, prove_acceptor(identity, &mut socket)).await;
-    let Ok(Some(host)) = proved else {
+    let authenticated =
+        tokio::time::timeout(OPEN_TIMEOUT, authenticate_accepted(identity, &mut socket)).await;
+    let Ok(Some(host)) = authenticated else {
         return;
     };
-    carry_link(socket, host, host, link, events).await;
+    run_link(socket, host, host, link, events).await;
 }
 
 async fn connect(
@@ -124,9 +126,9 @@
     let (mut socket, _response) = tokio_tungstenite::connect_async(url).await.ok()?;
     let own = greeting(identity);
     send_proof(&mut socket, own, None).await?;
-    let answer = read_proof(&mut socket).await?;
-    let peer = answer.greeting;
-    if answer.proof? != link_proof(identity.key, LinkSide::Acceptor, own, peer) {
+    let reply = read_proof(&mut socket).await?;
+    let peer = reply.greeting;
+    if reply.proof? != link_proof(identity.key, LinkSide::Acceptor, own, peer) {
         return None;
     }
     let proof = link_proof(identity.key, LinkSide::Opener, own, peer);
@@ -134,7 +136,7 @@
     Some((socket, peer.host))
 }
 
-async fn prove_acceptor<S: AsyncRead + AsyncWrite + Unpin>(
+async fn authenticate_accepted<S: AsyncRead + AsyncWrite + Unpin>(
     identity: LinkIdentity,
     socket: &mut WebSocketStream<S>,
 ) -> Option<HostId> {
@@ -142,10 +144,10 @@
     let own = greeting(identity);
     let proof = link_proof(identity.key, LinkSide::Acceptor, peer, own);
     send_proof(socket, own, Some(proof)).await?;
-    let answer = read_proof(socket).await?;
+    let reply = read_proof(socket).await?;
     let expected = link_proof(identity.key, LinkSide::Opener, peer, own);
-    let proved = answer.proof? == expected && answer.greeting == peer;
-    proved.then_some(peer.host)
+    let authenticated = reply.proof? == expected && reply.greeting == peer;
+    authenticated.then_some(peer.host)
 }
 
 fn greeting(identity: LinkIdentity) -> LinkGreeting {
@@ -173,14 +175,14 @@
     decode_message(&bytes).ok()
 }
 
-async fn carry_link<S: AsyncRead + AsyncWrite + Unpin>(
+async fn run_link<S: AsyncRead + AsyncWrite + Unpin>(
     socket: WebSocketStream<S>,
     host: HostId,
     opener: HostId,
     link: LinkId,
     events: mpsc::Sender<LinkEvent>,
 ) {
-    let (sender, mut outgoing) = mpsc::channel::<Bytes>(LINK_QUEUE);
+    let (sender, mut outgoing) = mpsc::channel::<Bytes>(LINK_QUEUE_LEN);
     let opened = OpenLink {
         host,
         link,
@@ -209,7 +211,8 @@
     send_event(&events, LinkEvent::Closed { host, link }).await;
 }
 
-/// The receiver only goes away with the daemon.
+/// Sends an event to the daemon. This fails only when the daemon stops, because it owns the
+/// receiver.
 async fn send_event(events: &mpsc::Sender<LinkEvent>, event: LinkEvent) {
     let _daemon_ended = events.send(event).await;
 }
--- a/daemon/src/peer_registry.rs
+++ b/daemon/src/peer_registry.rs
@@ -1,4 +1,4 @@
-//! The links of a control daemon that are in use, one a peer.
+//! The links of a control daemon that are in use, one per peer.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +15,11 @@
 }
 
 impl PeerRegistry {
-    /// Takes a new link; `false` if another one to the same peer stays in use.
+    /// Adds a new link. Returns `false` if another link to the same peer stays in use instead.
     ///
-    /// Two hosts that connect to each other at the same moment have two links. If each kept the
-    /// one that it saw last, each might close the one that the other kept; both keep the one that
-    /// the host with the smaller number opened.
+    /// Two hosts that connect to each other at the same time have two links. If each kept its
+    /// newest link, each could close the link that the other keeps. Both therefore keep the link
+    /// that the host with the smaller number opened.
     pub fn insert(&mut self, open: OpenLink) -> bool {
         let held = self.links.get(&open.host);
         if held.is_some_and(|held| held.opener < open.opener) {
@@ -29,12 +29,12 @@
         true
     }
 
-    /// Whether a message of this link is to be read.
+    /// Whether this link is the one in use to the peer.
     pub fn is_current(&self, host: HostId, link: LinkId) -> bool {
         self.links.get(&host).is_some_and(|held| held.link == link)
     }
 
-    /// Forgets a link; `false` if it was not in use.
+    /// Removes a link. Returns `false` if it was not in use.
     pub fn remove(&mut self, host: HostId, link: LinkId) -> bool {
         let current = self.is_current(host, link);
         if current {
@@ -43,12 +43,12 @@
         current
     }
 
-    /// Ends the link to a peer.
+    /// Closes the link to a peer.
     pub fn disconnect(&mut self, host: HostId) {
         self.links.remove(&host);
     }
 
-    /// Sends a message; `false` if there is no link, or its peer does not take messages fast enough.
+    /// Queues a message to a peer. Returns `false` if there is no link or its queue is full.
     pub fn send(&self, host: HostId, bytes: Bytes) -> bool {
         let held = self.links.get(&host);
         held.is_some_and(|held| held.sender.try_send(bytes).is_ok())
--- a/daemon/src/platform_client.rs
+++ b/daemon/src/platform_client.rs
@@ -1,31 +1,31 @@
-//! Carries out calls on the platform over HTTP, as `docs/technical/platform-protocol.md` has them.
+//! HTTP client of the platform. `docs/technical/platform-protocol.md` specifies the protocol.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lagoonproxy::control_event::PlatformAnswer;
 use lagoonproxy::control_event::PlatformRequest;
+use lagoonproxy::control_event::PlatformResponse;
 use lagoonproxy::control_event::PublishedKey;
 use lagoonproxy::ids::ConfigKey;
 use lagoonproxy::ids::PlatformEra;
 use lagoonproxy::ids::Version;
 use lagoonproxy::key_version::compose_version;
 use lagoonproxy::key_version::split_version;
-use lagoonproxy::platform_feed::CALL_PATIENCE;
+use lagoonproxy::platform_feed::CALL_TIMEOUT_MARGIN;
 use reqwest::StatusCode;
 use reqwest::Url;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Headers of a call and its answer, counted beside the body.
-const CALL_OVERHEAD: usize = 300;
+/// Bytes counted for the headers of a call and its response, in addition to the body.
+const CALL_OVERHEAD_BYTES: usize = 300;
 
-/// What came of a call.
-pub struct CallEnd {
-    /// The answer.
-    pub answer: PlatformAnswer,
-    /// Bytes of the call and its answer.
+/// The result of a call.
+pub struct CallResult {
+    /// The platform's response.
+    pub response: PlatformResponse,
+    /// Bytes of the call and its response.
     pub bytes: usize,
 }
 
@@ -51,7 +51,7 @@
 }
 
 #[derive(Deserialize)]
-struct ValueAnswer {
+struct ValueResponse {
     #[serde(default)]
     era: PlatformEra,
     #[serde(flatten)]
@@ -66,7 +66,7 @@
 }
 
 #[derive(Deserialize)]
-struct WatchAnswer {
+struct WatchResponse {
     #[serde(default)]
     era: PlatformEra,
     revision: Version,
@@ -74,32 +74,32 @@
 }
 
 impl PlatformClient {
-    /// Makes a client that has no connection yet.
+    /// Creates a client without a connection.
     pub fn new(address: SocketAddr) -> Self {
         let client = reqwest::Client::new();
         Self { address, client }
     }
 
-    /// Makes a call; whatever goes wrong is an unreachable platform.
-    pub async fn call(&self, request: &PlatformRequest) -> CallEnd {
+    /// Makes a call. Every failure gives [`PlatformResponse::Unreachable`].
+    pub async fn call(&self, request: &PlatformRequest) -> CallResult {
         match self.try_call(request).await {
             Some(end) => end,
-            None => CallEnd {
-                answer: PlatformAnswer::Unreachable,
-                bytes: CALL_OVERHEAD,
+            None => CallResult {
+                response: PlatformResponse::Unreachable,
+                bytes: CALL_OVERHEAD_BYTES,
             },
         }
     }
 
-    async fn try_call(&self, request: &PlatformRequest) -> Option<CallEnd> {
+    async fn try_call(&self, request: &PlatformRequest) -> Option<CallResult> {
         let url = self.url(request)?;
-        let patience = CALL_PATIENCE + request_wait(request);
-        let response = self.client.get(url).timeout(patience).send().await.ok()?;
+        let timeout = CALL_TIMEOUT_MARGIN + watch_wait(request);
+        let response = self.client.get(url).timeout(timeout).send().await.ok()?;
         let status = response.status();
         let body = response.bytes().await.ok()?;
-        Some(CallEnd {
-            answer: read_answer(request, status, &body)?,
-            bytes: CALL_OVERHEAD + body.len(),
+        Some(CallResult {
+            response: parse_response(request, status, &body)?,
+            bytes: CALL_OVERHEAD_BYTES + body.len(),
         })
     }
 
@@ -127,58 +127,60 @@
     }
 }
 
-fn request_wait(request: &PlatformRequest) -> Duration {
+fn watch_wait(request: &PlatformRequest) -> Duration {
     match request {
         PlatformRequest::Watch { wait, .. } => *wait,
         PlatformRequest::List { .. } | PlatformRequest::Value { .. } => Duration::ZERO,
     }
 }
 
-fn read_answer(
+fn parse_response(
     request: &PlatformRequest,
     status: StatusCode,
     body: &[u8],
-) -> Option<PlatformAnswer> {
+) -> Option<PlatformResponse> {
     match (request, status) {
         (PlatformRequest::List { .. }, StatusCode::OK) => {
-            let list: KeyList = read_json(body)?;
+            let list: KeyList = parse_json(body)?;
             let keys = list.keys.into_iter().map(|listed| {
                 let version = compose_version(list.era, listed.version)?;
                 Some((listed.key, version))
             });
-            Some(PlatformAnswer::Keys {
+            Some(PlatformResponse::Keys {
                 revision: compose_version(list.era, list.revision)?,
                 keys: keys.collect::<Option<_>>()?,
             })
         }
         (PlatformRequest::Value { .. }, StatusCode::OK) => {
-            let ValueAnswer { era, change } = read_json(body)?;
-            Some(PlatformAnswer::Value(Some(published(era, change)?)))
+            let ValueResponse { era, change } = parse_json(body)?;
+            Some(PlatformResponse::Value(Some(published_key(era, change)?)))
+        }
+        (PlatformRequest::Value { .. }, StatusCode::NOT_FOUND) => {
+            Some(PlatformResponse::Value(None))
         }
-        (PlatformRequest::Value { .. }, StatusCode::NOT_FOUND) => Some(PlatformAnswer::Value(None)),
         (PlatformRequest::Watch { after, .. }, StatusCode::OK) => {
-            let answer: WatchAnswer = read_json(body)?;
+            let response: WatchResponse = parse_json(body)?;
             let (watched_era, _revision) = split_version(*after);
-            if answer.era > watched_era {
-                return Some(PlatformAnswer::HistoryGone);
+            if response.era > watched_era {
+                return Some(PlatformResponse::HistoryDropped);
             }
-            let changes = answer.changes.into_iter();
-            let changes = changes.map(|change| published(answer.era, change));
-            Some(PlatformAnswer::Changes {
-                revision: compose_version(answer.era, answer.revision)?,
+            let changes = response.changes.into_iter();
+            let changes = changes.map(|change| published_key(response.era, change));
+            Some(PlatformResponse::Changes {
+                revision: compose_version(response.era, response.revision)?,
                 changes: changes.collect::<Option<_>>()?,
             })
         }
-        (PlatformRequest::Watch { .. }, StatusCode::GONE) => Some(PlatformAnswer::HistoryGone),
+        (PlatformRequest::Watch { .. }, StatusCode::GONE) => Some(PlatformResponse::HistoryDropped),
         _ => None,
     }
 }
 
-fn read_json<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     serde_json::from_slice(body).ok()
 }
 
-fn published(era: PlatformEra, change: KeyChange) -> Option<PublishedKey> {
+fn published_key(era: PlatformEra, change: KeyChange) -> Option<PublishedKey> {
     Some(PublishedKey {
         key: change.key,
         version: compose_version(era, change.version)?,
--- a/daemon/src/settings_file.rs
+++ b/daemon/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads a daemon's settings file.
+//! Reading of a daemon's settings file.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 
 use crate::daemon_exit::DaemonError;
 
-/// Why a settings file is refused.
+/// Why a settings file is rejected.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -21,12 +21,12 @@
         /// The system's error.
         source: std::io::Error,
     },
-    /// The file has faults.
-    #[snafu(display("settings {} are refused: {source}", path.display()))]
+    /// The file contains errors.
+    #[snafu(display("invalid settings in {}: {source}", path.display()))]
     Faulty {
         /// The file.
         path: PathBuf,
-        /// All of its faults.
+        /// All errors in the file.
         source: SettingsFaults,
     },
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reads a file and parses its text.
+/// Reads a settings file and parses it.
 pub fn read_settings<T>(
     path: &Path,
     parse: impl FnOnce(&str) -> Result<T, SettingsFaults>,
--- a/daemon/src/shutdown_signal.rs
+++ b/daemon/src/shutdown_signal.rs
@@ -1,4 +1,4 @@
-//! Waits for the signal that asks a daemon to stop.
+//! Shutdown on SIGTERM or SIGINT.
 
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
--- a/daemon/tests/process_cluster.rs
+++ b/daemon/tests/process_cluster.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as processes behind stand-ins in the test program: platform, upstreams, fabric.
+//! A cluster of entry hosts as processes; the test program runs the platform, upstreams and fabric.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 use tokio::sync::SemaphorePermit;
 use tokio::task::JoinHandle;
 
-use crate::process_host::HANG_LIMIT;
+use crate::process_host::HANG_TIMEOUT;
 use crate::process_host::HostAddresses;
 use crate::process_host::ProcessHost;
 use crate::process_host::choose_addresses;
@@ -44,10 +44,10 @@
     std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 0, 0, 2)),
     443,
 );
-/// Clusters that run at once. Programs that are starved of processor time lose their claims, as they
-/// should; that is no verdict on what a test is about.
-static TURNS: Semaphore = Semaphore::const_new(3);
-/// Jobs of one test's load.
+/// Limits the clusters that run at once. Processes without enough processor time lose their leases,
+/// as intended, which would make tests of other failures fail.
+static CLUSTER_PERMITS: Semaphore = Semaphore::const_new(3);
+/// Requests in the load of one test.
 pub const JOBS: u64 = 600;
 const RATE: f64 = 400.0;
 
@@ -65,19 +65,20 @@
     pub upstreams: Vec<ClusterUpstream>,
     entries: Vec<HostEntry>,
     proxies: Vec<JoinHandle<()>>,
-    _turn: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
-/// A load that runs while a test does something to the cluster.
+/// A load that runs while a test changes the cluster.
 pub struct RunningLoad {
     progress: LoadProgress,
     task: JoinHandle<LoadReport>,
 }
 
 impl ProcessCluster {
-    /// Six upstreams of the ledger, three of certdocs, and `hosts` ready entry hosts.
+    /// Starts six upstreams of the ledger, three of certdocs, and `hosts` entry hosts, and waits
+    /// until the hosts are ready.
     pub async fn start(hosts: u32) -> Self {
-        let turn = TURNS.acquire().await.unwrap();
+        let permit = CLUSTER_PERMITS.acquire().await.unwrap();
         let platform = Platform::default();
         let platform_address = platform.start().await.unwrap();
         let fabric = FabricSettings {
@@ -95,7 +96,7 @@
             upstreams: Vec::new(),
             entries: Vec::new(),
             proxies: Vec::new(),
-            _turn: turn,
+            _permit: permit,
         };
         cluster.start_upstreams().await;
         cluster.publish_services();
@@ -104,12 +105,12 @@
         cluster.spray_over(|_host| true);
         let version = cluster.platform.counters().revision;
         cluster.wait_until_in_force(version).await;
-        cluster.wait_until_claimed().await;
+        cluster.wait_until_leases_held().await;
         cluster
     }
 
-    /// Publishes the list of hosts, each with a proxy before its peer socket where zones can be cut,
-    /// and starts them.
+    /// Publishes the host list and starts the hosts. A proxy in front of each peer socket can
+    /// partition the zones.
     async fn start_hosts(&mut self, hosts: u32, platform: SocketAddr) {
         let addresses: Vec<HostAddresses> = (0..hosts).map(|_host| choose_addresses()).collect();
         let zones = ZONES.iter().cycle();
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Publishes that a host is about to stop.
+    /// Publishes that a host is leaving.
     pub fn publish_leaving(&mut self, id: HostId) {
         for entry in &mut self.entries {
             entry.leaving |= entry.id == id;
@@ -179,13 +180,13 @@
         self.publish_hosts();
     }
 
-    /// Publishes the list without a host.
+    /// Publishes the host list without a host.
     pub fn publish_without(&mut self, id: HostId) {
         self.entries.retain(|entry| entry.id != id);
         self.publish_hosts();
     }
 
-    /// Lets the fabric spray over some of the hosts only.
+    /// Restricts the hosts over which the fabric sprays datagrams.
     pub fn spray_over(&self, includes: impl Fn(&ProcessHost) -> bool) {
         let hosts = self.hosts.iter().filter(|host| includes(host));
         let hosts = hosts.map(|host| FabricHost {
@@ -203,23 +204,26 @@
         }
     }
 
-    /// Waits until every host may take on requests that may not run twice.
-    async fn wait_until_claimed(&self) {
+    /// Waits until every host holds its lease.
+    async fn wait_until_leases_held(&self) {
         let waiting = async {
             for host in &self.hosts {
                 host.wait_for(|status| status.holds_claim).await;
             }
         };
-        if tokio::time::timeout(HANG_LIMIT / 2, waiting).await.is_err() {
+        if tokio::time::timeout(HANG_TIMEOUT / 2, waiting)
+            .await
+            .is_err()
+        {
             let mut statuses = Vec::new();
             for host in &self.hosts {
                 statuses.push((host.addresses, host.status().await));
             }
-            panic!("not every host holds its claim: {statuses:#?}");
+            panic!("not every host holds its lease: {statuses:#?}");
         }
     }
 
-    /// Opens the flows of a load and begins it.
+    /// Opens the flows of a load and starts it.
     pub async fn start_load(&self) -> RunningLoad {
         let run = LoadRun::open(load_settings(), &self.fabric).await.unwrap();
         let progress = run.progress();
@@ -227,8 +231,8 @@
         RunningLoad { progress, task }
     }
 
-    /// Waits for the end of a load and holds it against what the upstreams ran.
-    pub async fn judge(&self, load: RunningLoad) -> LoadReport {
+    /// Waits for the end of a load and checks its report against the records of the upstreams.
+    pub async fn verify(&self, load: RunningLoad) -> LoadReport {
         let mut report = load.task.await.unwrap();
         let runs: Vec<RunReport> = self
             .upstreams
@@ -239,7 +243,7 @@
                 requests: records.entries().collect(),
             })
             .collect();
-        report.judge(&[LEDGER, CERTDOCS], &runs);
+        report.verify(&[LEDGER, CERTDOCS], &runs);
         report
     }
 
@@ -257,11 +261,11 @@
 }
 
 impl RunningLoad {
-    /// Waits until a part of the jobs have ended.
+    /// Waits until this number of requests have ended.
     pub async fn wait_for_ended(&self, jobs: u64) {
         let waiting = self.progress.wait_for_ended(jobs);
-        let waited = tokio::time::timeout(HANG_LIMIT, waiting).await;
-        waited.expect("the load came to a halt");
+        let completed = tokio::time::timeout(HANG_TIMEOUT, waiting).await;
+        completed.expect("the load makes no progress");
     }
 }
 
--- a/daemon/tests/process_host.rs
+++ b/daemon/tests/process_host.rs
@@ -1,4 +1,4 @@
-//! One entry host: its two daemons as child processes. Signals go to the exact processes started.
+//! An entry host with its two daemons as child processes. Signals go only to these processes.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -18,15 +18,15 @@
 use tokio::process::Command;
 
 const SHARED_KEY: &str = "6c61676f6f6e70726f78792074657374";
-/// Time between two looks at something that is waited for.
-pub const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// Ends a wait that can only be a hang; no verdict depends on it otherwise.
-pub const HANG_LIMIT: Duration = Duration::from_secs(20);
+/// Time between two checks of a condition that a test waits for.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time after which a wait counts as a hang and the test fails.
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Numbers the hosts that this test program has started.
+/// Number of the next host that this test program starts.
 static NEXT_HOST: AtomicU32 = AtomicU32::new(1);
 
-/// The addresses of a host, all on an IP number of its own.
+/// The addresses of a host, all on an IP address of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct HostAddresses {
     pub caller: SocketAddr,
@@ -36,7 +36,7 @@
     pub entry_admin: SocketAddr,
 }
 
-/// A host that runs; its processes are killed when it is dropped.
+/// A running host. Its processes are killed when it is dropped.
 pub struct ProcessHost {
     pub id: HostId,
     pub zone: ZoneName,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Kills both daemons at once, as when the machine is lost.
+    /// Kills both daemons at once, as in the loss of the machine.
     pub async fn kill(&mut self) {
         self.entry.start_kill().unwrap();
         self.control.start_kill().unwrap();
@@ -83,19 +83,20 @@
         self.control.wait().await.unwrap();
     }
 
-    /// Stops both daemons in their tracks.
+    /// Suspends both daemons.
     pub async fn freeze(&self) {
         signal(&self.entry, "STOP").await;
         signal(&self.control, "STOP").await;
     }
 
-    /// Lets both daemons go on.
+    /// Resumes both daemons.
     pub async fn thaw(&self) {
         signal(&self.entry, "CONT").await;
         signal(&self.control, "CONT").await;
     }
 
-    /// Asks the entry daemon to drain and waits for its exit; `true` if that was a success.
+    /// Signals the entry daemon to drain, waits for its exit and stops the control daemon. Returns
+    /// whether both exited with success.
     pub async fn drain(&mut self) -> bool {
         signal(&self.entry, "TERM").await;
         let ended = self.entry.wait().await.unwrap();
@@ -103,7 +104,7 @@
         ended.success() & self.control.wait().await.unwrap().success()
     }
 
-    /// Replaces the control daemon by a fresh one that knows nothing.
+    /// Kills the control daemon and starts a new one.
     pub async fn restart_control(&mut self) {
         self.control.start_kill().unwrap();
         self.control.wait().await.unwrap();
@@ -112,8 +113,8 @@
 
     /// Waits until the entry daemon's status meets a condition.
     pub async fn wait_for(&self, condition: impl Fn(&HostStatus) -> bool) -> HostStatus {
-        let waiting = self.look_until(condition);
-        match tokio::time::timeout(HANG_LIMIT, waiting).await {
+        let waiting = self.poll_until(condition);
+        match tokio::time::timeout(HANG_TIMEOUT, waiting).await {
             Ok(status) => status,
             Err(_hang) => panic!(
                 "host {} at {:?} hangs at {:?}",
@@ -124,14 +125,14 @@
         }
     }
 
-    async fn look_until(&self, condition: impl Fn(&HostStatus) -> bool) -> HostStatus {
+    async fn poll_until(&self, condition: impl Fn(&HostStatus) -> bool) -> HostStatus {
         loop {
             if let Some(status) = self.status().await
                 && condition(&status)
             {
                 return status;
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -142,7 +143,7 @@
     }
 }
 
-/// Starts a program; its log goes beside its settings.
+/// Starts a program that logs to a file beside its settings.
 fn spawn(program: &str, settings: &Path) -> Child {
     let log = File::create(settings.with_extension("log")).unwrap();
     Command::new(program)
@@ -154,7 +155,7 @@
         .unwrap()
 }
 
-/// Sends a signal to a child that has not been waited for, so that its number is still its own.
+/// Sends a signal to a child that has not been waited for, so that its process ID is not reused.
 async fn signal(child: &Child, name: &str) {
     let id = child.id().unwrap().to_string();
     let sent = Command::new("kill").args(["-s", name, &id]).status().await;
@@ -167,7 +168,8 @@
     path
 }
 
-/// An IP number that no other host of any test uses, and ports on it that the system chose.
+/// Returns addresses on an IP address that no other host of any test uses, with ports that the
+/// operating system chose.
 pub fn choose_addresses() -> HostAddresses {
     let process = std::process::id();
     let number = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
--- a/daemon/tests/runner.rs
+++ b/daemon/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Tests of the real programs as separate processes, in one program so that linking is fast.
+//! Tests of the daemons as separate processes, all in one program so that linking is fast.
 
 mod process_cluster;
 mod process_host;
--- a/daemon/tests/test_process_changes.rs
+++ b/daemon/tests/test_process_changes.rs
@@ -1,4 +1,4 @@
-//! Planned changes of the real system while the load runs: nothing breaks at all.
+//! Planned changes of the real processes under load, which no caller may notice.
 
 use lagoonproxy::config_snapshot::UpstreamState;
 use lagoonproxy_standin::key_store::StoreError;
@@ -10,7 +10,7 @@
 use crate::process_cluster::LEDGER;
 use crate::process_cluster::ProcessCluster;
 
-/// What callers are owed under any planned change.
+/// Asserts what holds under any planned change.
 fn assert_unbroken(report: &LoadReport) {
     assert_eq!(report.jobs(), JOBS, "{report}");
     assert_eq!(report.exit_code(), 0, "{report}");
@@ -18,9 +18,9 @@
     assert_eq!(report.total(|tally| tally.answer_gone), 0, "{report}");
 }
 
-/// Operators take an entry host out: they publish that it leaves, the fabric stops handing it
-/// datagrams, and it is asked to stop while sessions are open and requests run. It exits by itself,
-/// and no caller sees an outcome that it would not have seen otherwise.
+/// Operators remove an entry host: they publish that it is leaving, the fabric stops sending it
+/// datagrams, and it is signalled to drain while flows are open and requests run. It exits by
+/// itself, and no caller gets a different outcome.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_host_is_drained_under_load() {
     let mut cluster = ProcessCluster::start(4).await;
@@ -29,12 +29,12 @@
     cluster.publish_leaving(2);
     cluster.spray_over(|host| host.id != 2);
     assert!(cluster.hosts[1].drain().await);
-    let report = cluster.judge(load).await;
+    let report = cluster.verify(load).await;
     assert_unbroken(&report);
 }
 
-/// Operators drain two upstreams at once, sessions are open on both. New flows and requests of new
-/// flows go elsewhere; the open sessions go on where they are.
+/// Operators drain two upstreams with open flows at once. New flows and their requests go to other
+/// upstreams; the open flows stay.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_upstreams_are_drained_under_load() {
     let mut cluster = ProcessCluster::start(3).await;
@@ -47,14 +47,15 @@
     let version = cluster.platform.counters().revision;
     cluster.wait_until_in_force(version).await;
     let opened = [0, 7].map(|index| cluster.upstreams[index].handle.records().totals.opened);
-    let report = cluster.judge(load).await;
+    let report = cluster.verify(load).await;
     assert_unbroken(&report);
     let at_end = [0, 7].map(|index| cluster.upstreams[index].handle.records().totals.opened);
     assert_eq!(opened, at_end, "new flows on a draining upstream\n{report}");
 }
 
-/// An upstream of the ledger is drained of flows, then relabelled to certdocs, and its process
-/// serves certdocs from then on. Hosts learn of it unevenly. No ledger packet reaches it any more.
+/// An upstream of the ledger gets no more flows, then its labels are changed to certdocs, and its
+/// process serves certdocs from then on. Hosts learn of the change at different times. No ledger
+/// packet reaches the upstream after that.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_upstream_is_relabelled_between_services() {
     let mut cluster = ProcessCluster::start(3).await;
@@ -72,7 +73,7 @@
     let label = ("service".into(), "certdocs".into());
     relabelled.doc.labels = [label].into();
     cluster.publish_upstreams();
-    let report = cluster.judge(load).await;
+    let report = cluster.verify(load).await;
     assert_unbroken(&report);
     let records = cluster.upstreams[0].handle.records();
     assert_eq!(records.totals.foreign_frames, 0, "{report}");
@@ -80,13 +81,16 @@
         .entries()
         .filter(|run| run.request.service == LEDGER);
     assert_eq!(ledger_runs.count(), 0, "{report}");
-    assert!(records.totals.started > 0, "nothing moved to it\n{report}");
+    assert!(
+        records.totals.started > 0,
+        "no request was started on it\n{report}"
+    );
 }
 
-/// Two operators change the same zone's upstreams from the same version. One is told that the
-/// other was faster; every host ends with the winner's version, and callers notice nothing.
+/// Two operators change the upstreams of one zone from the same version. The second change is
+/// rejected with a conflict, every host applies the first, and callers are not affected.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_operators_race() {
+async fn test_concurrent_operator_changes() {
     let cluster = ProcessCluster::start(3).await;
     let load = cluster.start_load().await;
     let key = format!("upstreams/{}/0", cluster.upstreams[0].doc.zone);
@@ -104,6 +108,6 @@
     let winner = winner.unwrap().unwrap();
     assert_eq!(loser, Err(StoreError::VersionConflict { actual: winner }));
     cluster.wait_until_in_force(winner).await;
-    let report = cluster.judge(load).await;
+    let report = cluster.verify(load).await;
     assert_unbroken(&report);
 }
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts the demonstration as separate processes from the files in demo/settings, runs the load, and
-# ends every process that it started. Further arguments go to lagoonload, for example --json.
+# Starts the demonstration as separate processes with the settings in demo/settings, runs lagoonload, and
+# stops all processes at exit. Arguments are passed to lagoonload, for example --json.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --locked --release --quiet --workspace --bins
@@ -16,7 +16,7 @@
 }
 trap end_all EXIT
 
-start() { # name of the log, program, arguments
+start() { # LOG_NAME PROGRAM [ARGUMENT...]
     local log="$logs/$1"
     shift
     "$@" >"$log" 2>&1 &
--- a/lib/src/allocator_map.rs
+++ b/lib/src/allocator_map.rs
@@ -15,7 +15,7 @@
 use crate::config_snapshot::ServiceEntry;
 use crate::config_snapshot::UpstreamEntry;
 use crate::flow_hash::rendezvous_weight;
-use crate::ids::CellId;
+use crate::ids::GroupId;
 use crate::ids::HostId;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
@@ -43,8 +43,8 @@
     zones: Vec<ZoneAllocators>,
     /// The allocator from which this host requests any slot of the service.
     own_allocator: Option<HostId>,
-    groups: Vec<CellId>,
-    own_group: CellId,
+    groups: Vec<GroupId>,
+    own_group: GroupId,
 }
 
 impl AllocatorMap {
@@ -160,8 +160,8 @@
     }
 }
 
-fn groups_of(hosts: &HostView) -> Vec<CellId> {
-    let mut groups: Vec<CellId> = hosts.published.iter().map(|host| host.cell).collect();
+fn groups_of(hosts: &HostView) -> Vec<GroupId> {
+    let mut groups: Vec<GroupId> = hosts.published.iter().map(|host| host.cell).collect();
     groups.sort_unstable();
     groups.dedup();
     groups
--- a/lib/src/answer_buffer.rs
+++ b/lib/src/answer_buffer.rs
@@ -1,4 +1,4 @@
-//! Collects the parts of an answer until it is whole.
+//! Reassembly of an answer from its parts.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 /// The parts of one answer that have arrived.
 ///
-/// Invariant: the parts are of one run, and their ranges neither overlap nor pass `total`.
+/// Invariant: all parts belong to one run, and their ranges neither overlap nor exceed `total`.
 #[derive(Clone, Debug)]
 pub struct AnswerBuffer {
     request: RequestId,
@@ -20,7 +20,7 @@
 }
 
 impl AnswerBuffer {
-    /// Starts an answer with its first part.
+    /// Creates a buffer with the first part that arrived.
     pub fn new(part: &AnswerPart) -> Self {
         let mut buffer = Self {
             request: part.request,
@@ -33,7 +33,7 @@
         buffer
     }
 
-    /// Adds a part; `false` if it was there already or contradicts what is there.
+    /// Adds a part. Returns `false` if it was already present or contradicts the parts present.
     pub fn add(&mut self, part: &AnswerPart) -> bool {
         let len = part.payload.len() as u32;
         let end = u64::from(part.offset) + u64::from(len);
@@ -46,7 +46,7 @@
         true
     }
 
-    /// The run that the parts come from.
+    /// The run that the parts belong to.
     pub fn run(&self) -> u64 {
         self.run
     }
@@ -56,12 +56,12 @@
         self.received == self.total
     }
 
-    /// The bytes held.
+    /// The number of bytes that have arrived.
     pub fn received(&self) -> u32 {
         self.received
     }
 
-    /// The parts in order of offset.
+    /// Returns the parts in order of offset.
     pub fn parts(&self) -> impl Iterator<Item = AnswerPart> + '_ {
         self.parts.iter().map(|(offset, payload)| AnswerPart {
             request: self.request,
@@ -77,10 +77,10 @@
             return true;
         }
         let end = part.offset + part.payload.len() as u32;
-        let before = self.parts.range(..part.offset).next_back();
-        let before_overlaps =
-            before.is_some_and(|(offset, payload)| offset + payload.len() as u32 > part.offset);
-        let after = self.parts.range(part.offset..).next();
-        before_overlaps || after.is_some_and(|(offset, _payload)| *offset < end)
+        let previous = self.parts.range(..part.offset).next_back();
+        let previous_overlaps =
+            previous.is_some_and(|(offset, payload)| offset + payload.len() as u32 > part.offset);
+        let next = self.parts.range(part.offset..).next();
+        previous_overlaps || next.is_some_and(|(offset, _payload)| *offset < end)
     }
 }
--- a/lib/src/baseline_table.rs
+++ b/lib/src/baseline_table.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
+use crate::ids::Generation;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::ServiceId;
 use crate::placement_table::TableId;
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct BaselineTable {
     current: BTreeMap<(HostId, ServiceId), Vec<TableId>>,
-    incarnations: BTreeMap<HostId, Incarnation>,
+    incarnations: BTreeMap<HostId, Generation>,
     previous: Vec<PreviousBaseline>,
 }
 
@@ -98,12 +98,12 @@
     }
 
     /// Returns the last known process generation of a host.
-    pub fn incarnation(&self, host: HostId) -> Option<Incarnation> {
+    pub fn incarnation(&self, host: HostId) -> Option<Generation> {
         self.incarnations.get(&host).copied()
     }
 
     /// Records the process generation of a host. Returns `true` if it is new.
-    pub fn observe_process(&mut self, host: HostId, incarnation: Incarnation) -> bool {
+    pub fn observe_process(&mut self, host: HostId, incarnation: Generation) -> bool {
         self.incarnations.insert(host, incarnation) != Some(incarnation)
     }
 
--- a/lib/src/byte_budget.rs
+++ b/lib/src/byte_budget.rs
@@ -1,30 +1,31 @@
-//! The bytes a second that a host may send for control, enforced by a token bucket.
+//! A token bucket that limits the bytes per second of a host's control traffic.
 //!
-//! Load pattern: a burst of changes, or a host that resynchronises, beside a drain that must be in
-//! force within seconds. Without the budget control traffic crowds out callers' datagrams on
-//! costly links; without priorities the drain waits behind the resynchronisation.
+//! It is designed for a burst of changes, or a host that resynchronises, at the same time as a
+//! drain that must come into force within seconds. Without the limit, control traffic would crowd
+//! out callers' datagrams on expensive links; without classes, the drain would wait behind the
+//! resynchronisation.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// What a message is for, most urgent first.
+/// The class of a control message, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TrafficClass {
-    /// Announcements; small, at a fixed rate, and never held back.
+    /// Announcements; small, sent at a fixed rate and never held back.
     Announce,
     /// Drains and removals.
     Removal,
     /// Other changes.
     Change,
-    /// Whole values for a host that was away or differs.
+    /// Whole values for a host that was disconnected or differs.
     Repair,
 }
 
 impl TrafficClass {
-    /// Every class, most urgent first.
+    /// All classes, most urgent first.
     pub const ALL: [Self; 4] = [Self::Announce, Self::Removal, Self::Change, Self::Repair];
 
-    /// The share of the bucket that a class leaves to more urgent ones.
+    /// Returns the share of the bucket that is reserved for more urgent classes.
     fn reserve(self) -> f64 {
         match self {
             Self::Announce | Self::Removal => 0.0,
@@ -34,36 +35,37 @@
     }
 }
 
-/// A token bucket, and what was sent from it.
+/// A token bucket with counters of the bytes sent by class.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
-    /// Bytes a second.
+    /// Bytes per second.
     rate: f64,
-    /// Most bytes that are saved up; also the depth of debt that announcements may leave.
+    /// Size of the bucket in bytes.
     burst: f64,
     tokens: f64,
-    refilled: Instant,
+    last_refill: Instant,
     sent: [u64; TrafficClass::ALL.len()],
     held_back: u64,
 }
 
 impl ByteBudget {
-    /// A full bucket that refills with `rate` bytes a second and saves up `burst`.
+    /// Creates a full bucket of `burst` bytes that refills at `rate` bytes per second.
     pub fn new(now: Instant, rate: u32, burst: u32) -> Self {
         Self {
             rate: f64::from(rate),
             burst: f64::from(burst),
             tokens: f64::from(burst),
-            refilled: now,
+            last_refill: now,
             sent: [0; TrafficClass::ALL.len()],
             held_back: 0,
         }
     }
 
-    /// Whether a message of this class may be sent now.
+    /// Returns whether a message of this class may be sent now.
     ///
-    /// The message may be larger than what is left: the debt is paid before the next one, so that
-    /// the rate holds over time and a large value is not stuck for ever.
+    /// The message may be larger than the remaining tokens, so that a large value is not blocked
+    /// forever. The resulting debt is refilled before the next message, so that the rate holds over
+    /// time.
     pub fn allows(&mut self, now: Instant, class: TrafficClass) -> bool {
         self.refill(now);
         let allowed = class == TrafficClass::Announce || self.tokens > self.burst * class.reserve();
@@ -73,25 +75,25 @@
         allowed
     }
 
-    /// Takes the bytes of a message that is sent.
+    /// Removes the bytes of a sent message from the bucket.
     pub fn spend(&mut self, class: TrafficClass, bytes: usize) {
         self.tokens -= bytes as f64;
         self.sent[class as usize] += bytes as u64;
     }
 
-    /// Bytes sent of a class since the start.
+    /// Bytes sent in a class since the start.
     pub fn sent(&self, class: TrafficClass) -> u64 {
         self.sent[class as usize]
     }
 
-    /// How often a message had to wait.
+    /// Number of times that a message was held back.
     pub fn held_back(&self) -> u64 {
         self.held_back
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed: Duration = now.saturating_duration_since(self.refilled);
-        self.refilled = self.refilled.max(now);
-        self.tokens = (self.tokens + passed.as_secs_f64() * self.rate).min(self.burst);
+        let elapsed: Duration = now.saturating_duration_since(self.last_refill);
+        self.last_refill = self.last_refill.max(now);
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * self.rate).min(self.burst);
     }
 }
--- a/lib/src/config_check.rs
+++ b/lib/src/config_check.rs
@@ -1,4 +1,4 @@
-//! Checks a published configuration whole: what refuses it, and what an operator should look at.
+//! Checks a whole published configuration, for faults that reject it and for warnings.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,7 +17,7 @@
 use crate::selector_parser::SelectorError;
 use crate::settings_reader::write_faults;
 
-/// Why a published configuration is refused whole.
+/// A fault that rejects a whole published configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigFault {
     /// Two services or two upstreams have the same number.
@@ -27,9 +27,9 @@
         kind: &'static str,
         /// The number.
         id: u32,
-        /// The document that has it first.
+        /// The first document with it.
         first: SmolStr,
-        /// The document that has it again.
+        /// The second document with it.
         second: SmolStr,
     },
     /// Two services or two upstreams have the same name.
@@ -47,28 +47,28 @@
         kind: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The document that has it first.
+        /// The first document with it.
         first: SmolStr,
-        /// The document that has it again.
+        /// The second document with it.
         second: SmolStr,
     },
     /// A selector cannot be parsed.
     #[snafu(display("service {service}: selector: {source}"))]
     Selector {
-        /// The service it belongs to.
+        /// The service of the selector.
         service: SmolStr,
-        /// What is wrong with it.
+        /// The parser's error.
         source: SelectorError,
     },
-    /// A label is not a valid one.
+    /// An upstream has an invalid label.
     #[snafu(display("upstream {upstream}: label: {source}"))]
     Label {
-        /// The upstream it belongs to.
+        /// The upstream with the label.
         upstream: SmolStr,
-        /// What is wrong with it.
+        /// The parser's error.
         source: LabelError,
     },
-    /// An upstream could never serve.
+    /// An upstream has no slots or no connections, so that it could never serve.
     #[snafu(display("upstream {upstream}: {field} must be more than zero"))]
     ZeroCapacity {
         /// The upstream.
@@ -78,7 +78,7 @@
     },
 }
 
-/// Every fault of a configuration. Never empty.
+/// All faults of a configuration. Never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigFaults {
     /// The faults.
@@ -93,7 +93,7 @@
 
 impl std::error::Error for ConfigFaults {}
 
-/// What is valid, but seldom meant.
+/// A valid part of a configuration that is probably a mistake.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigWarning {
     /// No upstream matches a service's selector.
@@ -102,7 +102,7 @@
         /// The service.
         service: SmolStr,
     },
-    /// An upstream may carry more than one service.
+    /// An upstream matches the selectors of more than one service.
     #[snafu(display("upstream {upstream}: matches the selectors of {} services: {}", services.len(), services.join(", ")))]
     UpstreamShared {
         /// The upstream.
@@ -112,7 +112,7 @@
     },
 }
 
-/// The faults of a configuration, services first; an empty list accepts it.
+/// All faults of a configuration, those of services first; empty if the configuration is accepted.
 pub fn config_faults(config: &PublishedConfig) -> Vec<ConfigFault> {
     let mut faults = Vec::new();
     check_services(&config.services, &mut faults);
@@ -120,7 +120,7 @@
     faults
 }
 
-/// What an operator should look at before publishing a configuration without faults.
+/// Warnings that an operator should review before publishing a configuration without faults.
 pub fn config_warnings(config: &PublishedConfig) -> Vec<ConfigWarning> {
     let selectors: Vec<(&ServiceDoc, LabelSelector)> = config
         .services
@@ -184,7 +184,7 @@
     }
 }
 
-/// The numbers, names and addresses met so far among documents of one kind.
+/// The numbers, names and addresses of the documents of one kind that were checked so far.
 struct SeenIdentities<'doc> {
     kind: &'static str,
     numbers: HashMap<u32, &'doc SmolStr>,
--- a/lib/src/config_relay.rs
+++ b/lib/src/config_relay.rs
@@ -1,9 +1,10 @@
-//! Passes configuration among the hosts: announce what is held, pull what is missing.
+//! Distributes configuration among hosts: each announces what it holds and pulls what it lacks.
 //!
-//! Load pattern: one reader learns of a change, 424 hosts of a zone need it within seconds, and
-//! each may spend a few kilobytes a second. Pushing along every link would bring each host several
-//! copies; here only small announcements travel along every link, and each host pulls one copy from
-//! a neighbour that announced it. The same pull brings a host up to date that was away.
+//! Load pattern: one reader learns of a change, and the 424 hosts of a zone need it within seconds,
+//! at a few kilobytes a second each. Pushing the change along every link would bring each host
+//! several copies. Only small announcements are therefore sent on every link, and each host pulls
+//! one copy from a neighbour that announced it. A host that was disconnected catches up by the same
+//! pull.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,34 +21,35 @@
 use crate::ids::HostId;
 use crate::ids::Version;
 use crate::key_fetch::KeyFetch;
-use crate::reader_duty::ReaderBeats;
+use crate::reader_role::ReaderHeartbeats;
 use crate::relay_link::PeerLink;
 use crate::relay_message::Announcement;
-use crate::relay_message::ReaderBeat;
+use crate::relay_message::ReaderHeartbeat;
 use crate::relay_message::RelayMessage;
 
-/// A link without a message for so long has ended without notice: three announcements missed.
-pub const LINK_SILENCE: Duration = Duration::from_secs(4);
-/// How long a part of an answer may take before another peer is asked.
-const WANT_PATIENCE: Duration = Duration::from_secs(3);
-/// How long a host waits for its own zone before it pulls over a costly link to another.
-const FAR_PATIENCE: Duration = Duration::from_secs(1);
-/// Pause between exchanges of whole version lists after digests differed.
-const REPAIR_PAUSE: Duration = Duration::from_secs(10);
-/// What a message costs beyond its bytes: headers of the link, TCP and IP.
-pub const MESSAGE_OVERHEAD: usize = 60;
-
-/// What this host asked a peer for.
-struct OpenWant {
+/// Time without a message after which a link counts as lost: three missed announcements.
+pub const LINK_TIMEOUT: Duration = Duration::from_secs(4);
+/// Timeout for each part of a reply; the pull then goes to another peer.
+const PULL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay before a host pulls over a costly link to another zone, so that its own zone can serve it
+/// first.
+const OTHER_ZONE_PULL_DELAY: Duration = Duration::from_secs(1);
+/// Minimum interval between exchanges of whole version lists after digests differed.
+const REPAIR_INTERVAL: Duration = Duration::from_secs(10);
+/// Bytes that a message costs beyond its own length: headers of the link, TCP and IP.
+pub const MESSAGE_OVERHEAD_BYTES: usize = 60;
+
+/// A pull in progress from one peer.
+struct OpenPull {
     peer: HostId,
     deadline: Instant,
-    /// Keys of which the whole value was asked for, because a delta did not apply.
+    /// Keys whose whole value was requested, since a delta did not apply.
     missing: BTreeSet<ConfigKey>,
-    /// Revision to be complete to once nothing is missing.
+    /// Revision up to which the store is complete once `missing` is empty; 0 if not yet known.
     through: Version,
 }
 
-/// Counts of what the relay did.
+/// Counters of the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayCounts {
     /// Messages sent.
@@ -56,72 +58,72 @@
     pub bytes_sent: u64,
     /// Bytes received, overhead included.
     pub bytes_received: u64,
-    /// Keys brought by peers that were newer.
+    /// Keys received from peers in a newer version than the one held.
     pub keys_joined: u64,
-    /// Keys brought by peers that were known.
+    /// Keys received from peers in a version that was held already.
     pub keys_known: u64,
-    /// Messages that could not be decoded.
+    /// Messages that could not be decoded or encoded.
     pub malformed: u64,
-    /// Requests for changes sent.
-    pub wants_sent: u64,
-    /// Exchanges of version lists because digests differed.
+    /// Pulls started, those for repair included.
+    pub pulls_sent: u64,
+    /// Exchanges of whole version lists after digests differed.
     pub repairs: u64,
 }
 
-/// The links of a host and what passes over them.
+/// The links of a host, and the pulls and replies on them.
 pub struct ConfigRelay {
     host: HostId,
     links: BTreeMap<HostId, PeerLink>,
-    want: Option<OpenWant>,
+    open_pull: Option<OpenPull>,
     fetch: KeyFetch,
-    beats: ReaderBeats,
+    reader_heartbeats: ReaderHeartbeats,
     budget: ByteBudget,
-    /// Since when a peer is known to hold more than this host.
+    /// Time since which a peer has announced a newer state than this host's.
     behind_since: Option<Instant>,
-    repair_from: Instant,
-    /// Requests taken from peers.
-    asked: u64,
+    next_repair: Instant,
+    /// Number of requests received from peers, which orders the replies.
+    request_number: u64,
     counts: RelayCounts,
 }
 
 impl ConfigRelay {
-    /// Makes a relay without links.
+    /// Creates a relay without links.
     pub fn new(now: Instant, host: HostId, budget: ByteBudget) -> Self {
         Self {
             host,
             links: BTreeMap::new(),
-            want: None,
+            open_pull: None,
             fetch: KeyFetch::default(),
-            beats: ReaderBeats::default(),
+            reader_heartbeats: ReaderHeartbeats::default(),
             budget,
             behind_since: None,
-            repair_from: now,
-            asked: 0,
+            next_repair: now,
+            request_number: 0,
             counts: RelayCounts::default(),
         }
     }
 
-    /// What was done since the start.
+    /// The counters since the start.
     pub fn counts(&self) -> RelayCounts {
         self.counts
     }
 
-    /// The byte budget, for its counts.
+    /// The byte budget of sent messages, for its counters.
     pub fn budget(&self) -> &ByteBudget {
         &self.budget
     }
 
-    /// Opens a link; `near` if the peer is in the same zone.
-    pub fn open_link(&mut self, now: Instant, host: HostId, near: bool) {
-        let link = PeerLink::new(now, near);
+    /// Adds a link that was opened; `same_zone` says whether the peer is in this host's zone.
+    pub fn open_link(&mut self, now: Instant, host: HostId, same_zone: bool) {
+        let link = PeerLink::new(now, same_zone);
         self.links.insert(host, link);
     }
 
-    /// Forgets a link.
+    /// Removes a link and abandons the pull from its peer.
     pub fn close_link(&mut self, host: HostId) {
         self.links.remove(&host);
-        self.want.take_if(|want| want.peer == host);
-        self.fetch.forget(host);
+        self.open_pull.take_if(|open_pull| open_pull.peer == host);
+        self.fetch.remove_peer(host);
     }
 
     /// Whether a link to the host is open.
@@ -129,49 +131,53 @@
         self.links.contains_key(&host)
     }
 
-    /// The hosts linked, in order, and whether each is in the same zone.
+    /// The linked hosts in ascending order, each with whether it is in the same zone.
     pub fn linked(&self) -> impl Iterator<Item = (HostId, bool)> {
-        self.links.iter().map(|(host, link)| (*host, link.near))
+        self.links
+            .iter()
+            .map(|(host, link)| (*host, link.same_zone))
     }
 
-    /// Links of which nothing was heard for [`LINK_SILENCE`].
-    pub fn silent_links(&self, now: Instant) -> Vec<HostId> {
-        let silent = |link: &PeerLink| now.saturating_duration_since(link.heard) >= LINK_SILENCE;
+    /// The links on which nothing was received for [`LINK_TIMEOUT`].
+    pub fn timed_out_links(&self, now: Instant) -> Vec<HostId> {
+        let timed_out =
+            |link: &PeerLink| now.saturating_duration_since(link.last_received) >= LINK_TIMEOUT;
         self.links
             .iter()
-            .filter(|(_host, link)| silent(link))
+            .filter(|(_host, link)| timed_out(link))
             .map(|(host, _link)| *host)
             .collect()
     }
 
-    /// How many peers have said that they hold a complete configuration, and the newest of them.
-    pub fn informed_peers(&self) -> (usize, Version) {
+    /// The number of peers that announced a complete configuration, and the newest revision among
+    /// them.
+    pub fn peers_with_config(&self) -> (usize, Version) {
         let informed = self.links.values().filter(|link| link.through > 0);
         let through = informed.clone().map(|link| link.through).max();
         (informed.count(), through.unwrap_or(0))
     }
 
-    /// Whether peers are bringing this host what it lacks.
+    /// Whether peers are sending this host keys that it lacks.
     pub fn is_delivering(&self, now: Instant) -> bool {
-        self.want.is_some() || self.fetch.is_delivering(now)
+        self.open_pull.is_some() || self.fetch.is_delivering(now)
     }
 
-    /// Learns which keys the platform listed and are not held.
-    pub fn need_keys(&mut self, missing: BTreeMap<ConfigKey, Version>) {
-        self.fetch.need(missing);
+    /// Replaces the set of keys that the platform listed and this host lacks.
+    pub fn set_missing_keys(&mut self, missing: BTreeMap<ConfigKey, Version>) {
+        self.fetch.set_missing(missing);
     }
 
-    /// The beats heard of the zone's readers.
-    pub fn beats(&self) -> &ReaderBeats {
-        &self.beats
+    /// The heartbeats received from the zone's readers.
+    pub fn reader_heartbeats(&self) -> &ReaderHeartbeats {
+        &self.reader_heartbeats
     }
 
-    /// Takes note of a reader's beat, the own one included.
-    pub fn hear_beat(&mut self, now: Instant, host: HostId, beat: ReaderBeat) {
-        self.beats.hear(now, host, beat);
+    /// Records a reader's heartbeat, also this host's own.
+    pub fn record_heartbeat(&mut self, now: Instant, host: HostId, heartbeat: ReaderHeartbeat) {
+        self.reader_heartbeats.record(now, host, heartbeat);
     }
 
-    /// Takes a message of a linked peer.
+    /// Handles a message from a linked peer; messages from other peers are ignored.
     pub fn handle_message(
         &mut self,
         now: Instant,
@@ -180,35 +186,35 @@
         bytes: &[u8],
         actions: &mut Vec<ControlAction>,
     ) {
-        self.counts.bytes_received += (bytes.len() + MESSAGE_OVERHEAD) as u64;
+        self.counts.bytes_received += (bytes.len() + MESSAGE_OVERHEAD_BYTES) as u64;
         let Some(link) = self.links.get_mut(&host) else {
             return;
         };
-        link.heard = now;
+        link.last_received = now;
         let Ok(message) = RelayMessage::decode(bytes) else {
             self.counts.malformed += 1;
             return;
         };
         match message {
             RelayMessage::Announce(announcement) => {
-                self.take_announcement(now, store, host, &announcement, actions);
+                self.handle_announcement(now, store, host, &announcement, actions);
             }
-            RelayMessage::Want { after, ahead } => {
+            RelayMessage::PullChanges { after, ahead } => {
                 let updates = store.updates_after(after, &ahead);
                 self.queue_updates(host, updates, store.through());
             }
-            RelayMessage::WantKeys { held, only_named } => {
+            RelayMessage::PullKeys { held, only_named } => {
                 let updates = store.updates_for(&held, only_named);
                 let through = if only_named { 0 } else { store.through() };
                 self.queue_updates(host, updates, through);
             }
             RelayMessage::Updates { updates, through } => {
-                self.take_updates(now, store, host, &updates, through, actions);
+                self.handle_updates(now, store, host, &updates, through, actions);
             }
         }
     }
 
-    fn take_announcement(
+    fn handle_announcement(
         &mut self,
         now: Instant,
         store: &ConfigStore,
@@ -221,44 +227,44 @@
         };
         link.through = announcement.through;
         link.digest = announcement.digest;
-        let near = link.near;
-        if near {
-            for (reader, beat) in &announcement.beats {
-                self.hear_beat(now, *reader, *beat);
+        let same_zone = link.same_zone;
+        if same_zone {
+            for (reader, heartbeat) in &announcement.reader_heartbeats {
+                self.record_heartbeat(now, *reader, *heartbeat);
             }
         }
-        let asks = self.want.is_some() || self.fetch.is_needed();
-        if near && announcement.through > store.through() && !asks {
-            self.ask(now, store, host, actions);
+        let is_pulling = self.open_pull.is_some() || self.fetch.is_needed();
+        if same_zone && announcement.through > store.through() && !is_pulling {
+            self.pull_from(now, store, host, actions);
         }
     }
 
-    fn ask(
+    fn pull_from(
         &mut self,
         now: Instant,
         store: &ConfigStore,
         host: HostId,
         actions: &mut Vec<ControlAction>,
     ) {
-        let message = RelayMessage::Want {
+        let message = RelayMessage::PullChanges {
             after: store.through(),
             ahead: store.ahead_of_through(),
         };
-        self.open_want(now, host);
+        self.start_pull(now, host);
         self.send(host, &message, actions);
     }
 
-    fn open_want(&mut self, now: Instant, peer: HostId) {
-        self.counts.wants_sent += 1;
-        self.want = Some(OpenWant {
+    fn start_pull(&mut self, now: Instant, peer: HostId) {
+        self.counts.pulls_sent += 1;
+        self.open_pull = Some(OpenPull {
             peer,
-            deadline: now + WANT_PATIENCE,
+            deadline: now + PULL_TIMEOUT,
             missing: BTreeSet::new(),
             through: 0,
         });
     }
 
-    fn take_updates(
+    fn handle_updates(
         &mut self,
         now: Instant,
         store: &mut ConfigStore,
@@ -268,69 +274,78 @@
         actions: &mut Vec<ControlAction>,
     ) {
         let mut without_base = BTreeMap::new();
-        let mut brought = 0;
+        let mut newer_count = 0;
         for update in updates {
             match store.join_update(update) {
-                JoinResult::Newer => brought += 1,
+                JoinResult::Newer => newer_count += 1,
                 JoinResult::Known => self.counts.keys_known += 1,
                 JoinResult::BaseMissing => {
                     without_base.insert(update.key.clone(), 0);
                 }
             }
         }
-        self.counts.keys_joined += brought as u64;
-        self.fetch.take(now, store, host, brought);
-        let Some(want) = self.want.as_mut().filter(|want| want.peer == host) else {
+        self.counts.keys_joined += newer_count as u64;
+        self.fetch.record_updates(now, store, host, newer_count);
+        let Some(open_pull) = self
+            .open_pull
+            .as_mut()
+            .filter(|open_pull| open_pull.peer == host)
+        else {
             return;
         };
-        want.deadline = now + WANT_PATIENCE;
-        want.through = want.through.max(through);
+        open_pull.deadline = now + PULL_TIMEOUT;
+        open_pull.through = open_pull.through.max(through);
         for update in updates {
-            want.missing.remove(&update.key);
+            open_pull.missing.remove(&update.key);
         }
-        want.missing.extend(without_base.keys().cloned());
+        open_pull.missing.extend(without_base.keys().cloned());
         if !without_base.is_empty() {
-            let message = RelayMessage::WantKeys {
+            let message = RelayMessage::PullKeys {
                 held: without_base,
                 only_named: true,
             };
             self.send(host, &message, actions);
             return;
         }
-        if want.through > 0 && want.missing.is_empty() {
-            store.complete(want.through);
-            self.want = None;
+        if open_pull.through > 0 && open_pull.missing.is_empty() {
+            store.complete(open_pull.through);
+            self.open_pull = None;
         }
     }
 
     fn queue_updates(&mut self, host: HostId, updates: Vec<KeyUpdate>, through: Version) {
-        self.asked += 1;
+        self.request_number += 1;
         if let Some(link) = self.links.get_mut(&host) {
-            link.queue_updates(self.asked, updates, through);
+            link.queue_updates(self.request_number, updates, through);
         }
     }
 
-    /// Sends what is due and lets time pass.
+    /// Expires pulls and heartbeats, and sends announcements, replies and pulls that are due.
     pub fn tick(&mut self, now: Instant, store: &ConfigStore, actions: &mut Vec<ControlAction>) {
-        self.want.take_if(|want| want.deadline <= now);
-        self.beats.forget_old(now);
+        self.open_pull
+            .take_if(|open_pull| open_pull.deadline <= now);
+        self.reader_heartbeats.remove_expired(now);
         self.announce(now, store, actions);
-        self.serve(now, actions);
+        self.send_queued(now, actions);
         self.pull(now, store, actions);
         self.fetch_keys(now, store, actions);
         self.repair(now, store, actions);
     }
 
     fn announce(&mut self, now: Instant, store: &ConfigStore, actions: &mut Vec<ControlAction>) {
-        let beats = self.beats.fresh(now);
+        let reader_heartbeats = self.reader_heartbeats.forwardable(now);
         let mut due = Vec::new();
         for (host, link) in &mut self.links {
             let announcement = Announcement {
                 through: store.through(),
                 digest: announced_digest(store),
-                beats: if link.near { beats.clone() } else { Vec::new() },
+                reader_heartbeats: if link.same_zone {
+                    reader_heartbeats.clone()
+                } else {
+                    Vec::new()
+                },
             };
-            if link.announces(now, &announcement) {
+            if link.should_announce(now, &announcement) {
                 due.push((*host, announcement));
             }
         }
@@ -339,13 +354,15 @@
         }
     }
 
-    /// Serves every link's most urgent parts before the less urgent ones of any.
+    /// Sends queued updates, the most urgent class of all links first.
     ///
-    /// Within a class, the peer that asked first is served to the end, so that it can soon serve
-    /// others; sharing the budget between all would complete none of them for long.
-    fn serve(&mut self, now: Instant, actions: &mut Vec<ControlAction>) {
-        let owed = self.links.iter().filter(|(_host, link)| link.owes_end);
-        let mut hosts: Vec<(u64, HostId)> = owed.map(|(host, link)| (link.asked, *host)).collect();
+    /// Within a class, the peer that asked first gets its whole reply before the next, so that it
+    /// can soon serve others. Sharing the budget among all peers would delay every one of them.
+    fn send_queued(&mut self, now: Instant, actions: &mut Vec<ControlAction>) {
+        let pending = self.links.iter().filter(|(_host, link)| link.end_unsent);
+        let mut hosts: Vec<(u64, HostId)> = pending
+            .map(|(host, link)| (link.request_number, *host))
+            .collect();
         hosts.sort_unstable();
         for class in [
             TrafficClass::Removal,
@@ -353,12 +370,12 @@
             TrafficClass::Repair,
         ] {
             for (_asked, host) in &hosts {
-                self.serve_link(now, *host, class, actions);
+                self.send_queued_to(now, *host, class, actions);
             }
         }
     }
 
-    fn serve_link(
+    fn send_queued_to(
         &mut self,
         now: Instant,
         host: HostId,
@@ -374,28 +391,30 @@
         }
     }
 
-    /// Asks a peer that holds more; one of another zone only after the own zone had its time.
+    /// Pulls from a peer with a newer state; from another zone only after a delay.
     fn pull(&mut self, now: Instant, store: &ConfigStore, actions: &mut Vec<ControlAction>) {
-        let ahead = |near: bool| {
+        let ahead = |same_zone: bool| {
             self.links
                 .iter()
-                .filter(|(_host, link)| link.near == near && link.through > store.through())
+                .filter(|(_host, link)| {
+                    link.same_zone == same_zone && link.through > store.through()
+                })
                 .max_by_key(|(host, link)| (link.through, u64::from(**host).wrapping_mul(0x9e37)))
                 .map(|(host, _link)| *host)
         };
-        let (near, far) = (ahead(true), ahead(false));
-        if near.is_none() && far.is_none() {
+        let (same_zone, other_zone) = (ahead(true), ahead(false));
+        if same_zone.is_none() && other_zone.is_none() {
             self.behind_since = None;
             return;
         }
         let since = *self.behind_since.get_or_insert(now);
-        if self.want.is_some() || self.fetch.is_needed() {
+        if self.open_pull.is_some() || self.fetch.is_needed() {
             return;
         }
-        let patience_over = now.saturating_duration_since(since) >= FAR_PATIENCE;
-        let host = near.or_else(|| far.filter(|_host| patience_over));
+        let delay_elapsed = now.saturating_duration_since(since) >= OTHER_ZONE_PULL_DELAY;
+        let host = same_zone.or_else(|| other_zone.filter(|_host| delay_elapsed));
         if let Some(host) = host {
-            self.ask(now, store, host, actions);
+            self.pull_from(now, store, host, actions);
         }
     }
 
@@ -405,9 +424,9 @@
         }
         let peers: Vec<HostId> = self.links.keys().copied().collect();
         for peer in peers {
-            let held = self.fetch.ask(now, store, self.host, peer);
+            let held = self.fetch.next_keys(now, store, self.host, peer);
             if !held.is_empty() {
-                let message = RelayMessage::WantKeys {
+                let message = RelayMessage::PullKeys {
                     held,
                     only_named: true,
                 };
@@ -416,10 +435,10 @@
         }
     }
 
-    /// Hosts that are complete to the same revision hold the same versions; when their digests
-    /// differ, one has lost or invented something, and whole version lists are compared.
+    /// Compares whole version lists with a peer that is complete up to the same revision but has
+    /// another digest: one of the two has lost keys or holds wrong ones.
     fn repair(&mut self, now: Instant, store: &ConfigStore, actions: &mut Vec<ControlAction>) {
-        if self.want.is_some() || now < self.repair_from || !store.is_whole() {
+        if self.open_pull.is_some() || now < self.next_repair || !store.is_whole() {
             return;
         }
         let differs = |link: &PeerLink| {
@@ -430,16 +449,16 @@
         let Some(host) = host.map(|(host, _link)| *host) else {
             return;
         };
-        self.repair_from = now + REPAIR_PAUSE;
+        self.next_repair = now + REPAIR_INTERVAL;
         self.counts.repairs += 1;
         let held = store
             .keys()
             .map(|(key, stored)| (key.clone(), stored.version));
-        let message = RelayMessage::WantKeys {
+        let message = RelayMessage::PullKeys {
             held: held.collect(),
             only_named: false,
         };
-        self.open_want(now, host);
+        self.start_pull(now, host);
         self.send_classed(host, &message, TrafficClass::Repair, actions);
     }
 
@@ -458,7 +477,7 @@
             self.counts.malformed += 1;
             return;
         };
-        let size = bytes.len() + MESSAGE_OVERHEAD;
+        let size = bytes.len() + MESSAGE_OVERHEAD_BYTES;
         self.budget.spend(class, size);
         self.counts.messages_sent += 1;
         self.counts.bytes_sent += size as u64;
@@ -466,7 +485,8 @@
     }
 }
 
-/// While some keys are ahead of others, digests of hosts that are both right differ.
+/// The store's digest, or 0 while some keys are ahead of others: digests of correct hosts differ
+/// then.
 fn announced_digest(store: &ConfigStore) -> u64 {
     if store.is_whole() { store.digest() } else { 0 }
 }
--- a/lib/src/config_scope.rs
+++ b/lib/src/config_scope.rs
@@ -1,4 +1,4 @@
-//! Which published keys a host needs.
+//! Computes which published keys a host needs.
 
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
@@ -10,10 +10,10 @@
 use crate::ids::ConfigKey;
 use crate::ids::ZoneName;
 
-/// Prefixes of the keys of a region, limited to some of its zones unless `zones` is empty.
+/// The prefixes of a region's keys, limited to some zones unless `zones` is empty.
 ///
-/// A deployment of one region reads everything under one prefix: then one revision covers all keys,
-/// and a reader never has to ask whether another prefix changed too.
+/// The default region without a limit is read under one empty prefix: one revision then covers all
+/// keys, and a reader never has to check whether another prefix changed too.
 pub fn scope_prefixes(region: &str, zones: &[ZoneName]) -> Vec<ConfigKey> {
     if region == DEFAULT_REGION && zones.is_empty() {
         return vec![SmolStr::default()];
--- a/lib/src/config_snapshot.rs
+++ b/lib/src/config_snapshot.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on a host, compiled from what the platform publishes.
+//! The configuration in force on a host, compiled from the published one.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-use crate::ids::CellId;
+use crate::ids::Generation;
+use crate::ids::GroupId;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::ServiceAddress;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
@@ -19,13 +19,13 @@
 /// A service and the upstreams that its selector matches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Its number.
+    /// Its number, unique among entries of its kind.
     pub id: ServiceId,
     /// Its published name.
     pub name: SmolStr,
-    /// Where callers send to.
+    /// The address to which callers send.
     pub address: ServiceAddress,
-    /// The upstreams that may carry its traffic, in ascending order, without duplicates.
+    /// The upstreams that its selector matches, in ascending order, without duplicates.
     pub upstreams: Vec<UpstreamId>,
 }
 
@@ -35,37 +35,37 @@
 pub enum UpstreamState {
     /// It takes new flows and requests.
     Active,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its flows and requests and takes no new ones.
     Draining,
 }
 
-/// An upstream as published.
+/// An upstream as hosts use it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its number.
+    /// Its number, unique among entries of its kind.
     pub id: UpstreamId,
     /// Its published name.
     pub name: SmolStr,
-    /// Where hosts send to.
+    /// The address to which hosts send.
     pub address: SocketAddr,
-    /// Where its health and load endpoints answer, if it has any.
+    /// The address of its health and load endpoints, if it has any.
     pub health_address: Option<SocketAddr>,
     /// The availability zone it is in.
     pub zone: ZoneName,
     /// Grows when the address is given to another process.
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// How many requests it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// How many flows it holds at once.
+    /// Maximum number of flows that it holds at once.
     pub connections: u32,
 }
 
-/// One configuration, whole and valid.
+/// A valid configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigSnapshot {
-    /// Its version; a host never puts a smaller one in force after a larger.
+    /// Its version; a host never replaces a version in force by a smaller one.
     pub version: Version,
     /// The services, by number.
     pub services: HashMap<ServiceId, ServiceEntry>,
@@ -76,7 +76,7 @@
 }
 
 impl ConfigSnapshot {
-    /// The service that callers reach at `address`.
+    /// The service whose address is `address`.
     pub fn service_at(&self, address: ServiceAddress) -> Option<&ServiceEntry> {
         let id = self.addresses.get(&address)?;
         self.services.get(id)
@@ -86,29 +86,30 @@
 /// An entry host as published.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Its number.
+    /// Its number, unique among entries of its kind.
     pub id: HostId,
     /// The availability zone it is in.
     pub zone: ZoneName,
-    /// The cell it belongs to; today's fleets are one cell each.
+    /// The ownership group within which the host's flows are owned; each fleet is one group at
+    /// present.
     #[serde(default)]
-    pub cell: CellId,
-    /// Where its peers send forwarded datagrams.
+    pub cell: GroupId,
+    /// The address to which peers send forwarded datagrams.
     pub peer_address: SocketAddr,
-    /// Where its control daemon accepts peers.
+    /// The address at which its control daemon accepts peers.
     pub control_address: SocketAddr,
     /// Whether it is about to stop.
     pub leaving: bool,
 }
 
-/// The entry hosts that a host believes usable, with the version of the list behind it.
+/// The published entry hosts, and those among them that are taken to be alive.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostView {
     /// Version of the published list.
     pub version: Version,
-    /// Every published host, in ascending order of number.
+    /// All published hosts, in ascending order of number.
     pub published: Vec<HostEntry>,
-    /// The numbers of those that are believed alive, in ascending order.
+    /// The numbers of the hosts that are taken to be alive, in ascending order.
     pub alive: Vec<HostId>,
 }
 
--- a/lib/src/config_store.rs
+++ b/lib/src/config_store.rs
@@ -1,7 +1,8 @@
-//! What a host holds of the published keys: for each the largest version seen, deletions included.
+//! Stores the published keys that a host holds: the largest version seen of each, deletions
+//! included.
 //!
-//! Joining is commutative, associative and idempotent, so that copies from the platform and from
-//! peers, stale, repeated and in any order, never bring an older value back.
+//! Joining copies is commutative, associative and idempotent. Copies from the platform and from
+//! peers may therefore be outdated, repeated and in any order, and never restore an older value.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,29 +20,30 @@
 use crate::ids::ConfigKey;
 use crate::ids::Version;
 
-/// Fewest entry changes of a key that are remembered for deltas.
+/// Lower bound of the limit on entry changes that are kept per key for deltas.
 ///
-/// More are remembered up to the number of the key's entries: beyond that a delta is no smaller
-/// than the value itself.
+/// The limit is the number of the key's entries if that is larger; beyond it, a delta is no smaller
+/// than the whole value.
 const MIN_DELTA_ENTRIES: usize = 8;
 
-/// What came of joining a copy of a key.
+/// The result of joining a copy of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JoinResult {
-    /// It was newer and is held now.
+    /// The copy was newer, and is held now.
     Newer,
     /// The same or a newer version was held already.
     Known,
-    /// It was a delta from a version that is not held; the whole value is needed.
+    /// The copy was a delta from a version that is not held; the whole value is needed.
     BaseMissing,
 }
 
-/// How an entry changed between two versions of its key.
+/// How an entry changed between two versions of its key; the larger variant prevails when changes
+/// are merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EntryChange {
-    /// Only whether it takes new work.
+    /// Only whether the entry takes new work.
     State,
-    /// Anything else, also that it came or went.
+    /// Anything else, including that the entry was added or removed.
     Row,
 }
 
@@ -53,25 +55,26 @@
     changes: Vec<(EntryId, EntryChange)>,
 }
 
-/// One key as held.
+/// A key in the store.
 #[derive(Clone, Debug)]
 pub struct StoredKey {
-    /// Revision of its last change.
+    /// Version of the key's last change.
     pub version: Version,
-    /// Its value, or `None` after a deletion.
+    /// The value, or `None` after a deletion.
     pub value: Option<Arc<KeyValue>>,
-    /// Contiguous: each `base` is the `version` before it, and the last `version` is the key's.
+    /// Changes that led to `version`, oldest first. Contiguous: each `base` is the `version` of the
+    /// delta before it, and the last `version` is the key's.
     deltas: VecDeque<KeyDelta>,
 }
 
-/// A key's new state as it travels between hosts.
+/// A key's new state, as hosts send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyUpdate {
     /// The key.
     pub key: ConfigKey,
-    /// Its version.
+    /// The version that the key gets.
     pub version: Version,
-    /// Its value, or how to get there.
+    /// The value, or the difference from an earlier one.
     pub body: UpdateBody,
 }
 
@@ -84,20 +87,20 @@
     Whole(Arc<KeyValue>),
     /// The difference from the version `base`.
     Delta {
-        /// The version that it applies to, and no other.
+        /// The only version to which the delta applies.
         base: Version,
-        /// Entries that are new or changed.
+        /// Entries that are new or changed, whole.
         rows: Vec<Arc<EntryDoc>>,
-        /// Entries of which only this changed: whether they take no new work.
+        /// Entries of which only the state changed: whether they take no new work.
         closing: Vec<(EntryId, bool)>,
-        /// Entries that are gone.
+        /// Entries that were removed.
         removed: Vec<EntryId>,
     },
 }
 
 impl KeyUpdate {
-    /// Whether it stops work somewhere: a drain, a removal, a deletion.
-    pub fn takes_away(&self) -> bool {
+    /// Whether the update stops traffic to an entry: a drain, a removed entry or a deleted key.
+    pub fn is_removal(&self) -> bool {
         match &self.body {
             UpdateBody::Deleted => true,
             UpdateBody::Whole(_) => false,
@@ -108,46 +111,47 @@
     }
 }
 
-/// The keys of a host's scope.
+/// The published keys that a host needs, with their versions.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigStore {
     keys: BTreeMap<ConfigKey, StoredKey>,
     /// Every change up to this revision is held.
     through: Version,
-    /// Largest version of a key.
+    /// Largest version of any key.
     newest: Version,
-    /// Sum of the hashes of every key with its version.
+    /// Wrapping sum of the hashes of each key with its version.
     digest: u64,
 }
 
 impl ConfigStore {
-    /// The revision up to which every change is held; 0 if that is not known of any.
+    /// The revision up to which every change is held; 0 if none is known.
     pub fn through(&self) -> Version {
         self.through
     }
 
-    /// Largest version of a key.
+    /// Largest version of any key.
     pub fn newest(&self) -> Version {
         self.newest
     }
 
-    /// Whether the keys together are a state that was published: no key is newer than what is
-    /// complete. Otherwise some keys are ahead of others.
+    /// Whether the keys together are a state that was published: no key is newer than the revision
+    /// up to which the store is complete. Otherwise some keys are ahead of others.
     pub fn is_whole(&self) -> bool {
         self.through > 0 && self.newest <= self.through
     }
 
-    /// Equal on hosts that hold the same versions, whatever the order they came in.
+    /// Digest of the keys and versions; equal on hosts that hold the same versions, whatever the
+    /// order in which they arrived.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Every key, in order.
+    /// All keys, in order.
     pub fn keys(&self) -> impl Iterator<Item = (&ConfigKey, &StoredKey)> {
         self.keys.iter()
     }
 
-    /// The keys that begin with `prefix`, in order.
+    /// The keys that start with `prefix`, in order.
     pub fn keys_under<'a>(
         &'a self,
         prefix: &'a str,
@@ -157,13 +161,12 @@
             .take_while(move |(key, _stored)| key.starts_with(prefix))
     }
 
-    /// A key's version; 0 if nothing is held of it.
+    /// A key's version; 0 if the key is not held.
     pub fn version_of(&self, key: &str) -> Version {
         self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
-    /// Keys that changed after `through`, with their versions; if there are any, the state is not
-    /// whole.
+    /// The keys that changed after `through`, with their versions; empty if the state is whole.
     pub fn ahead_of_through(&self) -> BTreeMap<ConfigKey, Version> {
         if self.newest <= self.through {
             return BTreeMap::new();
@@ -175,12 +178,12 @@
             .collect()
     }
 
-    /// Learns that every change up to `revision` has been joined.
+    /// Records that every change up to `revision` has been joined.
     pub fn complete(&mut self, revision: Version) {
         self.through = self.through.max(revision);
     }
 
-    /// Joins a whole value, or `None` for a deletion.
+    /// Joins a copy with the whole value, or with `None` for a deletion.
     pub fn join(
         &mut self,
         key: &ConfigKey,
@@ -205,7 +208,7 @@
         JoinResult::Newer
     }
 
-    /// Joins what a peer sent.
+    /// Joins an update from a peer.
     pub fn join_update(&mut self, update: &KeyUpdate) -> JoinResult {
         let held = self.version_of(&update.key);
         if update.version <= held {
@@ -252,7 +255,7 @@
         Some(patched)
     }
 
-    /// What a peer lacks that is complete up to `after`, and holds the keys of `ahead` in newer
+    /// The updates for a peer that is complete up to `after` and holds the keys of `ahead` in newer
     /// versions; as deltas where possible.
     pub fn updates_after(
         &self,
@@ -269,7 +272,8 @@
         updates
     }
 
-    /// What a peer lacks that holds these versions; with `only_named`, nothing of other keys.
+    /// The updates for a peer that holds these versions. With `only_named`, keys that are not in
+    /// `held` are left out.
     pub fn updates_for(
         &self,
         held: &BTreeMap<ConfigKey, Version>,
@@ -303,22 +307,22 @@
         }
         self.version = version;
         self.value = value;
-        self.forget_deltas();
+        self.trim_deltas();
     }
 
-    fn forget_deltas(&mut self) {
+    fn trim_deltas(&mut self) {
         let rows = self.value.as_ref().and_then(|value| value.rows());
         let limit = rows.map_or(0, EntryRows::len).max(MIN_DELTA_ENTRIES);
-        let mut entries: usize = self.deltas.iter().map(KeyDelta::weight).sum();
+        let mut entries: usize = self.deltas.iter().map(KeyDelta::entry_count).sum();
         while entries > limit {
             let Some(oldest) = self.deltas.pop_front() else {
                 return;
             };
-            entries -= oldest.weight();
+            entries -= oldest.entry_count();
         }
     }
 
-    /// The way from the version that was in force at revision `after` to the present one.
+    /// The update from the version that was held at revision `after` to the present one.
     ///
     /// Deltas name the entries that changed; their content is taken from the present value.
     fn update_from(&self, key: &ConfigKey, after: Version) -> KeyUpdate {
@@ -344,8 +348,8 @@
         let present = value.rows()?;
         let mut changed: BTreeMap<EntryId, EntryChange> = BTreeMap::new();
         for (id, change) in self.deltas.iter().skip(first).flat_map(|d| &d.changes) {
-            let kept = changed.entry(*id).or_insert(*change);
-            *kept = (*kept).max(*change);
+            let merged = changed.entry(*id).or_insert(*change);
+            *merged = (*merged).max(*change);
         }
         let mut rows = Vec::new();
         let mut closing = Vec::new();
@@ -367,13 +371,13 @@
 }
 
 impl KeyDelta {
-    /// A delta without changes still takes memory.
-    fn weight(&self) -> usize {
+    /// The number of changes, at least 1, since an empty delta also takes memory.
+    fn entry_count(&self) -> usize {
         self.changes.len().max(1)
     }
 }
 
-/// The entries that differ; `None` if one of the values has no entries to compare.
+/// The entries that differ between two values; `None` if one of them has no entries.
 fn changes_between(
     old: Option<&KeyValue>,
     new: Option<&KeyValue>,
@@ -383,19 +387,19 @@
     let mut changes = Vec::new();
     for (id, doc) in new {
         match old.get(id) {
-            Some(former) if former == doc => {}
-            Some(former) if former.with_closing(doc.is_closing()) == **doc => {
+            Some(previous) if previous == doc => {}
+            Some(previous) if previous.with_closing(doc.is_closing()) == **doc => {
                 changes.push((*id, EntryChange::State));
             }
             _ => changes.push((*id, EntryChange::Row)),
         }
     }
-    let gone = old.keys().filter(|id| !new.contains_key(id));
-    changes.extend(gone.map(|id| (*id, EntryChange::Row)));
+    let removed_ids = old.keys().filter(|id| !new.contains_key(id));
+    changes.extend(removed_ids.map(|id| (*id, EntryChange::Row)));
     Some(changes)
 }
 
-/// A key that is not held has no part in the sum.
+/// The hash of a key with its version; 0 for a key that is not held.
 fn key_hash(key: &str, version: Version) -> u64 {
     if version == 0 {
         return 0;
--- a/lib/src/config_value.rs
+++ b/lib/src/config_value.rs
@@ -1,6 +1,7 @@
-//! The value of one published key: entries by number, parsed once where the platform is read.
+//! Parses the value of a published key into entries by number, once, where the platform is read.
 //!
-//! Between hosts the entries travel as arrays without field names, a third of the JSON's size.
+//! Hosts send each other the entries as arrays without field names, a third of the size of the
+//! JSON.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,9 +16,9 @@
 
 use crate::config_snapshot::HostEntry;
 use crate::config_snapshot::UpstreamState;
-use crate::ids::CellId;
+use crate::ids::Generation;
+use crate::ids::GroupId;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 use crate::ids::ZoneName;
@@ -25,14 +26,14 @@
 use crate::published_config::ServiceDoc;
 use crate::published_config::UpstreamDoc;
 
-/// Prefix of the keys that hold services.
+/// Prefix of the keys of services.
 pub const SERVICES_PREFIX: &str = "services/";
-/// Prefix of the keys that hold upstreams.
+/// Prefix of the keys of upstreams.
 pub const UPSTREAMS_PREFIX: &str = "upstreams/";
-/// Prefix of the keys that hold entry hosts.
+/// Prefix of the keys of entry hosts.
 pub const HOSTS_PREFIX: &str = "hosts/";
 
-/// Number of an entry, unique among the entries of its kind.
+/// Number of an entry, unique among entries of its kind.
 pub type EntryId = u32;
 
 /// One entry of a published list.
@@ -48,7 +49,7 @@
 }
 
 impl EntryDoc {
-    /// Its number.
+    /// The entry's number.
     pub fn id(&self) -> EntryId {
         match self {
             Self::Service(doc) => doc.id,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Whether it takes no new work: a draining upstream, a leaving host.
+    /// Whether the entry takes no new work: a draining upstream or a leaving host.
     pub fn is_closing(&self) -> bool {
         match self {
             Self::Service(_) => false,
@@ -66,7 +67,8 @@
         }
     }
 
-    /// The same entry, taking new work or not; services have no such state.
+    /// A copy of the entry that takes no new work if `closing`, and takes new work otherwise.
+    /// Services have no such state and are copied unchanged.
     pub fn with_closing(&self, closing: bool) -> Self {
         let mut doc = self.clone();
         match &mut doc {
@@ -82,18 +84,21 @@
 /// The entries of a key, by number.
 pub type EntryRows = BTreeMap<EntryId, Arc<EntryDoc>>;
 
-/// What a key holds.
+/// The value of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyValue {
     /// Valid entries.
     Rows(EntryRows),
-    /// The published value could not be read; a configuration with it is refused whole.
+    /// The published value could not be parsed, for this reason; a configuration that includes it
+    /// is rejected whole.
     Invalid(SmolStr),
 }
 
 impl KeyValue {
-    /// Reads the JSON that is published under `key`; a fault makes it `Invalid`, never an error,
-    /// so that every host learns of the fault and refuses the same version.
+    /// Parses the JSON that is published under `key`.
+    ///
+    /// A fault gives `Invalid` instead of an error, so that every host learns of the fault and
+    /// rejects the same version.
     pub fn parse(key: &str, json: &Value) -> Self {
         let docs = if key.starts_with(SERVICES_PREFIX) {
             parse_list(json, EntryDoc::Service)
@@ -108,7 +113,7 @@
             .map_or_else(Self::Invalid, Self::Rows)
     }
 
-    /// The entries; none if the value is invalid.
+    /// The entries; `None` if the value is invalid.
     pub fn rows(&self) -> Option<&EntryRows> {
         match self {
             Self::Rows(rows) => Some(rows),
@@ -137,7 +142,7 @@
     Ok(rows)
 }
 
-/// An entry as it travels between hosts: fields by position.
+/// An entry as hosts send it to each other, with fields by position.
 #[derive(Serialize, Deserialize)]
 enum EntryRow {
     #[serde(rename = "s")]
@@ -149,14 +154,14 @@
         SocketAddr,
         Option<SocketAddr>,
         ZoneName,
-        Incarnation,
+        Generation,
         LabelMap,
         UpstreamState,
         u32,
         u32,
     ),
     #[serde(rename = "h")]
-    Host(HostId, ZoneName, CellId, SocketAddr, SocketAddr, bool),
+    Host(HostId, ZoneName, GroupId, SocketAddr, SocketAddr, bool),
 }
 
 impl From<EntryDoc> for EntryRow {
--- a/lib/src/control_event.rs
+++ b/lib/src/control_event.rs
@@ -1,4 +1,4 @@
-//! What may happen to a host's control core, and what it asks its shell to do.
+//! The events that a control core handles and the actions that it requests of its daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,15 +15,15 @@
 use crate::ids::Version;
 use crate::result_code::ResultCode;
 
-/// Number of a call on the platform, unique for one control core.
+/// Number of a call to the platform, unique within one control core.
 pub type CallId = u64;
 
-/// A call on the platform.
+/// A call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformRequest {
     /// `GET /v1/keys`.
     List {
-        /// Only keys that begin so.
+        /// Prefix of the keys to list.
         prefix: ConfigKey,
     },
     /// `GET /v1/values/K`.
@@ -33,82 +33,82 @@
     },
     /// `GET /v1/watch`.
     Watch {
-        /// Only keys that begin so.
+        /// Prefix of the keys to watch.
         prefix: ConfigKey,
-        /// Only versions above this.
+        /// Only later versions are returned.
         after: Version,
-        /// How long the platform may wait for a change.
+        /// Maximum time that the platform waits for a change.
         wait: Duration,
     },
 }
 
-/// A published value, or its absence.
+/// A published value or its deletion.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedKey {
     /// The key.
     pub key: ConfigKey,
-    /// Revision of its last change.
+    /// Version of its last change.
     pub version: Version,
-    /// Its value; `None` after a deletion.
+    /// The value; `None` after a deletion.
     pub value: Option<Value>,
 }
 
-/// The platform's answer to a call.
+/// The platform's response to a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PlatformAnswer {
-    /// To a list: the keys and their versions.
+pub enum PlatformResponse {
+    /// Response to a list call: the keys and their versions.
     Keys {
         /// The platform's revision.
         revision: Version,
         /// The keys.
         keys: Vec<(ConfigKey, Version)>,
     },
-    /// To a value: the value, or `None` if there is no such key.
+    /// Response to a value call: the value, or `None` if the key does not exist.
     Value(Option<PublishedKey>),
-    /// To a watch.
+    /// Response to a watch call: the changes.
     Changes {
         /// The platform's revision.
         revision: Version,
         /// The latest value of each key that changed.
         changes: Vec<PublishedKey>,
     },
-    /// To a watch: changes that far back are not kept.
-    HistoryGone,
-    /// There was no answer, or none that can be read.
+    /// Response to a watch call: the platform no longer has the changes since that version.
+    HistoryDropped,
+    /// There was no response, or it could not be decoded.
     Unreachable,
 }
 
-/// One event; the time it happened at is passed beside it.
+/// One event. Its time is passed separately.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// A link to a peer that proved to know the shared key is open.
+    /// A link to a peer is open, and the peer has proved that it knows the shared key.
     PeerUp(HostId),
-    /// The link to a peer ended, or could not be opened.
+    /// The link to a peer was closed or could not be opened.
     PeerDown(HostId),
-    /// A message of a peer.
+    /// A message from a peer arrived.
     PeerMessage {
         /// The peer.
         host: HostId,
         /// The encoded message.
         bytes: Bytes,
     },
-    /// The end of a call on the platform.
-    PlatformAnswer {
+    /// A call to the platform ended.
+    PlatformResponse {
         /// The call.
         call: CallId,
-        /// What came of it.
-        answer: PlatformAnswer,
-        /// Bytes of the call and its answer.
+        /// Its response.
+        answer: PlatformResponse,
+        /// Bytes of the call and its response.
         bytes: usize,
     },
-    /// Time has passed; to be sent every [`crate::control_core::CONTROL_TICK`].
+    /// Time has passed. Must be sent every [`crate::control_core::CONTROL_TICK`].
     Tick,
 }
 
-/// One action; the shell carries them out in order.
+/// One action. The daemon executes actions in order.
 #[derive(Clone, Debug)]
 pub enum ControlAction {
-    /// Open a link to a peer; to be answered by `PeerUp` or `PeerDown`.
+    /// Open a link to a peer. The result is a `PeerUp` or `PeerDown` event.
     Connect {
         /// The peer.
         host: HostId,
@@ -123,25 +123,25 @@
         host: HostId,
         /// The message.
         bytes: Bytes,
-        /// What it is for.
+        /// The class that the message is counted under.
         class: TrafficClass,
     },
-    /// Call the platform; to be answered by `PlatformAnswer`.
+    /// Call the platform. The result is a `PlatformResponse` event.
     CallPlatform {
         /// Number of the call.
         call: CallId,
-        /// The call.
+        /// What to request.
         request: PlatformRequest,
     },
-    /// Hand the entry daemon a configuration.
+    /// Deliver a configuration to the entry daemon.
     Config(Arc<ConfigSnapshot>),
-    /// Hand the entry daemon the list of hosts.
+    /// Deliver the host list to the entry daemon.
     Hosts(Arc<HostView>),
-    /// A published state was refused whole; what was accepted last stays in force.
+    /// Report that a published state was rejected as a whole. The last accepted one stays in force.
     Refused {
-        /// Version of the refused state.
+        /// Version of the rejected state.
         version: Version,
-        /// What is wrong with it.
+        /// The fault.
         fault: String,
     },
     /// Count an event by its reason.
--- a/lib/src/daemon_settings.rs
+++ b/lib/src/daemon_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the two daemons: their fields, defaults and limits.
+//! Settings of the two daemons: fields, defaults and limits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,9 +14,9 @@
 use crate::unit_text::ByteText;
 use crate::unit_text::DurationText;
 
-/// Name of the region when settings name none.
+/// Region of hosts whose settings name none.
 pub const DEFAULT_REGION: &str = "main";
-/// Longest `max_datagram_age`: records of requests are kept that much longer.
+/// Upper limit of `max_datagram_age`; the records of requests are kept for that much longer.
 const MAX_DATAGRAM_AGE: Duration = Duration::from_secs(30);
 
 /// Settings of `lagoon-entry`.
@@ -26,26 +26,26 @@
     pub host: HostId,
     /// The availability zone it is in.
     pub zone: ZoneName,
-    /// Where callers' datagrams arrive.
+    /// Address on which callers' datagrams arrive.
     pub caller_address: SocketAddr,
-    /// Where peers' datagrams arrive.
+    /// Address on which peers' datagrams arrive.
     pub peer_address: SocketAddr,
-    /// Where upstreams' datagrams arrive.
+    /// Address on which upstreams' datagrams arrive.
     pub upstream_address: SocketAddr,
-    /// The control daemon of the same host.
+    /// Address of the control daemon of the same host.
     pub control_address: SocketAddr,
-    /// Where metrics, health and status are read; absent, they are not served.
+    /// Address of metrics, health and status, which are not served without it.
     pub admin_address: Option<SocketAddr>,
-    /// Key that the user's hosts share.
+    /// Secret key shared by all of the user's hosts.
     pub shared_key: SharedKey,
-    /// How long a silent flow is kept; 2 hours by default, for sessions that idle.
+    /// Time for which a flow without packets is kept. The default of 2 h allows for idle sessions.
     pub flow_idle: Duration,
-    /// Longest time that a datagram is assumed to be under way; 1 s by default.
+    /// Maximum age that a datagram is assumed to reach on its path; 1 s by default.
     pub max_datagram_age: Duration,
-    /// Longest time between the signal to stop and the exit; 2 min by default: the copies of flows
-    /// that a leaving host hands over go at a bounded rate.
+    /// Maximum time between the stop signal and the exit; 2 min by default, since a leaving host
+    /// copies its flows to other hosts at a bounded rate.
     pub drain_limit: Duration,
-    /// Decisions under load.
+    /// Settings of admission and balancing under load.
     pub load: LoadSettings,
 }
 
@@ -58,26 +58,27 @@
     pub zone: ZoneName,
     /// The region it is in.
     pub region: SmolStr,
-    /// Where the entry daemon of the same host and the control daemons of others connect.
+    /// Address to which the entry daemon of the same host and the control daemons of others
+    /// connect.
     pub control_address: SocketAddr,
-    /// The platform's configuration service.
+    /// Address of the platform's configuration service.
     pub platform_address: SocketAddr,
-    /// Where metrics, health and status are read; absent, they are not served.
+    /// Address of metrics, health and status, which are not served without it.
     pub admin_address: Option<SocketAddr>,
-    /// Key that the user's hosts share.
+    /// Secret key shared by all of the user's hosts.
     pub shared_key: SharedKey,
-    /// Bytes a second that this daemon sends to other hosts; 3 KB by default.
+    /// Bytes per second that this daemon sends to other hosts; 3 KB by default.
     pub byte_budget: u64,
-    /// Bytes a second that this daemon reads from the platform; 12 KB by default.
+    /// Bytes per second that this daemon reads from the platform; 12 KB by default.
     pub read_budget: u64,
-    /// Zones whose upstreams and hosts it needs; none means all of them.
+    /// Zones whose upstreams and hosts it needs; all zones if empty.
     pub zones: Vec<ZoneName>,
-    /// Control addresses of peers to ask when the platform cannot be reached at the start.
+    /// Control addresses of peers to connect to if the platform cannot be reached at the start.
     pub seed_peers: Vec<SocketAddr>,
 }
 
 impl EntrySettings {
-    /// Reads settings in YAML; the error has every fault.
+    /// Parses settings in YAML; the error lists all faults.
     pub fn parse(text: &str) -> Result<Self, SettingsFaults> {
         parse_settings(text, Self::read, Self::check)
     }
@@ -132,7 +133,7 @@
 }
 
 impl ControlSettings {
-    /// Reads settings in YAML; the error has every fault.
+    /// Parses settings in YAML; the error lists all faults.
     pub fn parse(text: &str) -> Result<Self, SettingsFaults> {
         parse_settings(text, Self::read, Self::check)
     }
@@ -178,7 +179,7 @@
     }
 }
 
-/// Reads the fields, checks them against each other once all are there, and gives every fault.
+/// Reads the fields, checks them against each other if all are present, and returns all faults.
 fn parse_settings<T>(
     text: &str,
     read: impl FnOnce(&mut SettingsReader<'_>) -> Option<T>,
@@ -192,7 +193,7 @@
     reader.finish(settings)
 }
 
-/// Refuses a TCP address that stands in two fields.
+/// Records a fault if two fields have the same TCP address.
 fn check_stream_addresses(
     reader: &mut SettingsReader<'_>,
     control: SocketAddr,
@@ -203,7 +204,8 @@
     check_distinct(reader, &addresses);
 }
 
-/// Refuses an address that stands in two fields; port 0 is chosen by the system and never clashes.
+/// Records a fault if two fields have the same address. Port 0 is chosen by the system and never
+/// clashes.
 fn check_distinct(reader: &mut SettingsReader<'_>, addresses: &[(&'static str, SocketAddr)]) {
     for (index, (field, address)) in addresses.iter().enumerate() {
         let earlier = addresses[..index]
--- a/lib/src/expiry_system.rs
+++ b/lib/src/expiry_system.rs
@@ -20,7 +20,7 @@
         self.send_heartbeats(heartbeats, actions);
         let mut decisions = Vec::new();
         self.policy.tick(now, &mut decisions);
-        self.carry_out(now, decisions, actions);
+        self.execute_decisions(now, decisions, actions);
         for key in self.requests.take_due(now) {
             self.advance_request(now, key, actions);
         }
--- a/lib/src/flow_binding.rs
+++ b/lib/src/flow_binding.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 
@@ -22,7 +22,7 @@
     pub upstream: UpstreamId,
     /// The upstream's generation when the flows were opened. Another generation has no state of
     /// them.
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
 }
 
 #[derive(Clone, Debug)]
--- a/lib/src/flow_directory.rs
+++ b/lib/src/flow_directory.rs
@@ -24,8 +24,8 @@
 use crate::flow_table::FlowRecord;
 use crate::flow_table::FlowTable;
 use crate::ids::FlowDigest;
+use crate::ids::Generation;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 use crate::owner_view::OwnerView;
@@ -58,7 +58,7 @@
     /// The host that owns the directory.
     pub host: HostId,
     /// Generation of the host's process; each start has a larger one.
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
     /// Time after which an idle flow is removed.
     pub flow_idle: Duration,
     /// Maximum bytes per second for copies and baselines.
@@ -69,7 +69,7 @@
 
 impl DirectorySettings {
     /// Returns settings with the default limits for copies.
-    pub fn new(host: HostId, incarnation: Incarnation, flow_idle: Duration) -> Self {
+    pub fn new(host: HostId, incarnation: Generation, flow_idle: Duration) -> Self {
         Self {
             host,
             incarnation,
@@ -318,7 +318,7 @@
     }
 
     /// Returns the address at which an upstream process is reached.
-    pub fn process_reach(&self, upstream: UpstreamId, incarnation: Incarnation) -> UpstreamReach {
+    pub fn process_reach(&self, upstream: UpstreamId, incarnation: Generation) -> UpstreamReach {
         self.addresses.reach(upstream, incarnation)
     }
 
--- a/lib/src/flow_message.rs
+++ b/lib/src/flow_message.rs
@@ -12,7 +12,7 @@
 use crate::flow_binding::FlowBinding;
 use crate::flow_table::FlowRecord;
 use crate::ids::FlowDigest;
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 use crate::placement_table::TableId;
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowParties {
     /// Generation of the sender.
-    pub from: Incarnation,
+    pub from: Generation,
     /// Generation of the receiver, if the sender knows it.
-    pub to: Option<Incarnation>,
+    pub to: Option<Generation>,
 }
 
 /// Sequence number of a message that requires confirmation, per sender and receiver.
@@ -134,7 +134,7 @@
     /// Upstream of the flow.
     pub upstream: UpstreamId,
     /// Generation of the upstream.
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
     /// Last address of the upstream, if the configuration no longer contains it.
     pub former_address: Option<SocketAddr>,
     /// Time until the flow's idle deadline, in whole seconds.
--- a/lib/src/flow_system.rs
+++ b/lib/src/flow_system.rs
@@ -13,8 +13,8 @@
 use crate::host_core::HostCore;
 use crate::host_core::reply;
 use crate::ids::FlowDigest;
+use crate::ids::Generation;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 use crate::owner_view::OwnerView;
@@ -203,7 +203,7 @@
         digest: FlowDigest,
         frame: &CallerFrame,
         upstream: UpstreamId,
-    ) -> Option<Incarnation> {
+    ) -> Option<Generation> {
         let service = self.service_of(frame).ok()?;
         if let Some(binding) = self.flows.binding(digest)
             && binding.upstream == upstream
--- a/lib/src/group_heartbeat.rs
+++ b/lib/src/group_heartbeat.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 use crate::ids::Version;
 
 /// Time between two heartbeats to the same peer.
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatEcho {
     /// Generation of the process that sent the heartbeat.
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
     /// Number of the heartbeat.
     pub number: u64,
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupHeartbeat {
     /// Generation of the sending process.
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
     /// Increases with each heartbeat of a generation, over all peers.
     pub number: u64,
     /// The newest heartbeat received from the receiver.
--- a/lib/src/host_action.rs
+++ b/lib/src/host_action.rs
@@ -1,4 +1,4 @@
-//! What a host's decision core asks its shell to do.
+//! The actions that a host's decision core requests of its daemon.
 
 use std::net::SocketAddr;
 
@@ -8,12 +8,12 @@
 use crate::wire_frame::PeerFrame;
 use crate::wire_frame::UpstreamFrame;
 
-/// One action; the shell carries them out in order.
+/// One action. The daemon executes actions in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostAction {
     /// Send a frame to a caller.
     ToCaller {
-        /// Where to.
+        /// The caller's address.
         caller: SocketAddr,
         /// The frame.
         frame: CallerFrame,
@@ -34,10 +34,10 @@
         /// The frame.
         frame: UpstreamFrame,
     },
-    /// Count a refusal or a dropped datagram by its reason.
+    /// Count a rejected request or a dropped datagram by its reason.
     Count(ResultCode),
-    /// Count a further attempt of a request, by why the one before was not started.
+    /// Count a further attempt of a request, by the reason why the previous one was not started.
     CountRetry(ResultCode),
-    /// A drain that was asked for is complete: nothing is in progress any more.
+    /// The requested drain is complete: nothing is in progress any more.
     Drained,
 }
