--- a/lib/src/host_core.rs
+++ b/lib/src/host_core.rs
@@ -1,8 +1,9 @@
-//! The one door to a host's decisions: events and the present time in, actions out.
+//! The decision core of an entry host, which turns events and their times into actions.
 //!
 //! A frame of a caller may arrive at any host. The host that receives it computes the flow's owner
-//! and forwards the frame there; the owner places flows, remembers requests and talks to upstreams.
-//! Given the same events at the same times and the same seed, the actions are the same.
+//! and forwards the frame there; the owner places flows, records requests and sends to upstreams.
+//! The core is deterministic: the same events at the same times and the same seed give the same
+//! actions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +19,10 @@
 use crate::host_action::HostAction;
 use crate::host_event::HostEvent;
 use crate::host_status::HostStatus;
-use crate::ids::CellId;
 use crate::ids::FlowDigest;
+use crate::ids::Generation;
+use crate::ids::GroupId;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::Version;
 use crate::load_policy::LoadDecision;
 use crate::load_policy::LoadPolicy;
@@ -45,33 +46,33 @@
 use crate::wire_frame::RefusalBody;
 use crate::wire_frame::RunOutcome;
 
-/// Longest time between two [`HostEvent::Tick`] events.
+/// Maximum time between two [`HostEvent::Tick`] events.
 pub const TICK: Duration = Duration::from_millis(10);
-/// How often a frame may be forwarded between hosts whose views differ.
+/// Maximum number of times that a frame is forwarded between hosts.
 ///
-/// Two hosts that each believe the other to be the owner would send a frame to and fro for ever;
-/// the limit ends that. The second hop lets a newer view correct an older one, and the third lets a
-/// host that was asked about a request point to the one that asked.
+/// The limit ends the loop between two hosts whose host lists differ and that each take the other
+/// for the owner. The second hop lets a newer host list correct an older one. The third lets a host
+/// that was queried for the record of a request forward the request to the host that queried it.
 pub const MAX_HOPS: u8 = 3;
 
-/// What a host knows of itself.
+/// The settings of a host's decision core.
 #[derive(Clone)]
 pub struct CoreSettings {
-    /// Its number in the published host list.
+    /// The host's number in the published host list.
     pub host: HostId,
-    /// Larger with each start of the process, such as the milliseconds since 1970.
-    pub incarnation: Incarnation,
+    /// Generation of the process, larger at each start, such as the milliseconds since 1970.
+    pub incarnation: Generation,
     /// When the process started.
     pub started: Instant,
-    /// Key that the user's hosts share, for digests of flows.
+    /// Key of the flow digests, shared by all hosts of a user.
     pub flow_key: [u8; 16],
-    /// How long a silent flow is kept.
+    /// How long a flow without frames is kept.
     pub flow_idle: Duration,
-    /// Longest time that a datagram may be under way; a later copy is assumed not to exist.
+    /// Maximum time that a datagram is in transit. A copy is assumed not to arrive later.
     pub max_datagram_age: Duration,
 }
 
-/// The decisions of one entry host.
+/// The decision core of one entry host.
 pub struct HostCore {
     pub(crate) settings: CoreSettings,
     pub(crate) hasher: FlowHasher,
@@ -81,21 +82,21 @@
     pub(crate) parked: ParkedFrames,
     pub(crate) requests: RequestTable,
     pub(crate) policy: Box<dyn LoadPolicy>,
-    /// What the policy was last told of the hosts.
-    policy_view: Arc<HostView>,
-    config_since: Option<Instant>,
-    /// Number of the next attempt; never used again by this process, so that the parts of two
-    /// attempts are never taken for one answer's.
+    /// The host list that the load policy was last given.
+    policy_hosts: Arc<HostView>,
+    config_applied_at: Option<Instant>,
+    /// Number of the next attempt. A process never reuses a number, so that parts of the answers to
+    /// two attempts are never combined.
     pub(crate) next_attempt: u64,
     pub(crate) draining: bool,
-    /// Not drained before this: peers learn first that this host is leaving, and ask it for its
-    /// records.
+    /// The drain is not complete before this time, so that peers learn that this host is leaving
+    /// and can query its records. `None` without peers.
     linger_deadline: Option<Instant>,
     drained_reported: bool,
 }
 
 impl HostCore {
-    /// Makes a host that has no configuration yet.
+    /// Creates a core without configuration and without host list.
     pub fn new(settings: CoreSettings, policy: Box<dyn LoadPolicy>) -> Self {
         let flows = FlowDirectory::new(DirectorySettings::new(
             settings.host,
@@ -116,8 +117,8 @@
             parked: ParkedFrames::default(),
             requests: RequestTable::default(),
             policy,
-            policy_view: Arc::default(),
-            config_since: None,
+            policy_hosts: Arc::default(),
+            config_applied_at: None,
             next_attempt: 1,
             draining: false,
             linger_deadline: None,
@@ -125,11 +126,11 @@
         }
     }
 
-    /// Takes one event that happened at `now` and appends what is to be done to `actions`.
+    /// Handles an event that happened at `now` and appends the resulting actions to `actions`.
     ///
-    /// `now` must not be smaller than in an earlier call.
+    /// `now` must not be earlier than in a previous call.
     pub fn handle(&mut self, now: Instant, event: HostEvent, actions: &mut Vec<HostAction>) {
-        self.membership.observe(now);
+        self.membership.detect_stall(now);
         match event {
             HostEvent::CallerFrame { caller, frame } => {
                 let origin = FrameOrigin {
@@ -138,16 +139,16 @@
                     read: Some(now),
                 };
                 let view = self.membership.view().version;
-                self.route_caller(now, origin, frame, view, actions);
+                self.route_caller_frame(now, origin, frame, view, actions);
             }
-            HostEvent::PeerFrame(frame) => self.take_peer(now, frame, actions),
+            HostEvent::PeerFrame(frame) => self.handle_peer_frame(now, frame, actions),
             HostEvent::UpstreamFrame { source, frame } => {
                 self.handle_upstream_frame(now, source, frame, actions);
             }
-            HostEvent::Config(config) => self.put_in_force(now, config),
+            HostEvent::Config(config) => self.apply_config(now, config),
             HostEvent::Hosts(hosts) => {
                 self.membership.learn_hosts(now, &hosts);
-                self.tell_hosts(now);
+                self.update_policy_hosts(now);
             }
             HostEvent::UpstreamReport(report) => self.policy.handle_report(now, report),
             HostEvent::Drain => self.start_drain(now, actions),
@@ -156,54 +157,55 @@
                 self.report_drained(now, actions);
             }
         }
-        if self.membership.usable() != self.policy_view.alive {
-            self.tell_hosts(now);
+        if self.membership.usable() != self.policy_hosts.alive {
+            self.update_policy_hosts(now);
             self.update_owner_view(now, actions);
         }
     }
 
-    /// What operators are told of this host.
+    /// Returns the status of this host for operators.
     pub fn status(&self, now: Instant) -> HostStatus {
         HostStatus {
             host: self.settings.host,
             config_version: self.config_version(),
             config_age: self
-                .config_since
+                .config_applied_at
                 .map(|since| now.saturating_duration_since(since)),
             host_list_version: self.membership.view().version,
             hosts_alive: self.membership.usable().len(),
-            holds_claim: self.membership.book().holds_claim(now),
-            settling: self.membership.book().is_settling(now),
+            holds_claim: self.membership.leases().holds_claim(now),
+            settling: self.membership.leases().is_settling(now),
             draining: self.draining,
             flows: self.flows.len(),
             requests: self.requests.in_progress(),
         }
     }
 
-    /// The version of the configuration in force, if there is one.
+    /// The version of the configuration in force; `None` before the first.
     pub fn config_version(&self) -> Option<Version> {
         self.config.as_ref().map(|config| config.version)
     }
 
-    /// Since when this host has been the only one that may take on requests of a flow that may not
-    /// run twice; `None` if it may not at present.
-    pub fn acts_since(&self, now: Instant, flow: FlowDigest) -> Option<Instant> {
+    /// Returns the time since which this host has been the only one that may accept non-idempotent
+    /// requests of a flow; `None` if it may not at present.
+    pub fn may_accept_since(&self, now: Instant, flow: FlowDigest) -> Option<Instant> {
         self.accepting_since(now, flow)
     }
 
-    /// How many flows this host owns.
+    /// The number of flows that this host owns.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// How many requests have no outcome yet.
+    /// The number of requests without an outcome.
     pub fn requests_in_progress(&self) -> usize {
         self.requests.in_progress()
     }
 
-    /// Ignores a configuration older than the one in force: replicas and peers deliver copies in
-    /// any order, and an old one would bring back upstreams that operators have removed.
-    fn put_in_force(&mut self, now: Instant, config: Arc<ConfigSnapshot>) {
+    /// Applies a configuration if it is newer than the one in force. Replicas and peers deliver
+    /// copies in any order, and an older one would bring back upstreams that operators have
+    /// removed.
+    fn apply_config(&mut self, now: Instant, config: Arc<ConfigSnapshot>) {
         let current = self.config.as_ref();
         if current.is_some_and(|current| config.version <= current.version) {
             return;
@@ -211,14 +213,15 @@
         self.policy.configure(now, &config);
         self.flows.configure(&config);
         self.config = Some(config);
-        self.config_since = Some(now);
+        self.config_applied_at = Some(now);
     }
 
-    /// Handles a caller's frame here or passes it to the host that it belongs to.
+    /// Handles a caller's frame on this host or forwards it to its destination.
     ///
-    /// `view` is the version of the host list by which the frame was sent here. A newer view than
-    /// this host's wins: its sender knows better who owns the flow.
-    fn route_caller(
+    /// `view` is the version of the host list by which the sender chose this host. A frame sent by
+    /// a newer host list than this host's is handled here, because the sender's choice of the owner
+    /// is more recent.
+    fn route_caller_frame(
         &mut self,
         now: Instant,
         origin: FrameOrigin,
@@ -229,13 +232,13 @@
         let FrameOrigin { caller, hops, .. } = origin;
         let digest = self.hasher.digest(frame.service, caller, frame.flow);
         let is_recorded = self.has_record(digest, &frame.body);
-        if !is_recorded && self.may_be_stale(now, origin, &frame.body) {
+        if !is_recorded && self.has_uncertain_age(now, origin, &frame.body) {
             actions.push(HostAction::Count(ResultCode::FrameStale));
             return;
         }
-        let target = self.target_of(digest, &frame.body, hops);
-        // A leaving host keeps nothing new, whoever sent it: it passes frames on even at the limit
-        // of hops, and the receiver, which sees the limit, does not send them back.
+        let target = self.destination(digest, &frame.body, hops);
+        // A leaving host accepts nothing new, so it forwards frames even at the limit of hops. The
+        // receiver sees that the limit is reached and does not send them back.
         let is_limited = hops >= MAX_HOPS || view > self.membership.view().version;
         let is_final = is_limited && !self.draining;
         if is_recorded || is_final || target == self.settings.host {
@@ -247,7 +250,7 @@
         self.send_caller_frame(target, hops, caller, frame, actions);
     }
 
-    /// Whether this host remembers the request that a frame is about.
+    /// Whether this host has a record of the request that a frame refers to.
     fn has_record(&self, flow: FlowDigest, body: &CallerBody) -> bool {
         let request = match body {
             CallerBody::Request(request) => request.request,
@@ -257,32 +260,34 @@
         self.requests.get(RequestKey { flow, request }).is_some()
     }
 
-    /// Whether a request that may not run twice could be older than it says.
+    /// Whether a non-idempotent request may be older than the age it states.
     ///
-    /// It may have waited here during a freeze, or come from a host whose word on its age cannot be
-    /// dated. A request that a former owner has run would be taken for a new one. Its caller sends
-    /// it again, with its true age.
-    fn may_be_stale(&self, now: Instant, origin: FrameOrigin, body: &CallerBody) -> bool {
+    /// It may have waited on this host during a stall, or come from a host without a heartbeat echo
+    /// that dates it. With too small an age, a request that a previous owner has run would be
+    /// accepted as new. The request is therefore dropped; the caller sends it again with its true
+    /// age.
+    fn has_uncertain_age(&self, now: Instant, origin: FrameOrigin, body: &CallerBody) -> bool {
         let CallerBody::Request(request) = body else {
             return false;
         };
-        let is_dated = origin.read.is_some() && !self.membership.may_read_backlog(now);
-        !request.idempotent && !is_dated
+        let has_reliable_age = origin.read.is_some() && !self.membership.may_read_backlog(now);
+        !request.idempotent && !has_reliable_age
     }
 
-    /// The host that a frame belongs to: for requests the one that may take them on, else the one
-    /// that holds the flow.
-    fn target_of(&self, digest: FlowDigest, body: &CallerBody, hops: u8) -> HostId {
+    /// Returns the host that handles a frame: for a non-idempotent request, and for its
+    /// acknowledgement or cancellation as it comes from the caller, the accepting host; for other
+    /// frames the owner of the flow.
+    fn destination(&self, digest: FlowDigest, body: &CallerBody, hops: u8) -> HostId {
         match body {
-            CallerBody::Request(request) if !request.idempotent => self.actor_of(digest),
+            CallerBody::Request(request) if !request.idempotent => self.accepting_host(digest),
             CallerBody::Ack { .. } | CallerBody::Cancel { .. } if hops == 0 => {
-                self.actor_of(digest)
+                self.accepting_host(digest)
             }
             _ => self.owner_of(digest),
         }
     }
 
-    fn take_peer(&mut self, now: Instant, frame: PeerFrame, actions: &mut Vec<HostAction>) {
+    fn handle_peer_frame(&mut self, now: Instant, frame: PeerFrame, actions: &mut Vec<HostAction>) {
         if frame.hops > MAX_HOPS {
             actions.push(HostAction::Count(ResultCode::HopsExceeded));
             return;
@@ -299,20 +304,20 @@
                 echo,
                 frame: inner,
             } => {
-                let book = self.membership.book();
+                let leases = self.membership.leases();
                 let origin = FrameOrigin {
                     caller,
                     hops: frame.hops,
-                    read: echo.and_then(|echo| book.sent_at(echo)),
+                    read: echo.and_then(|echo| leases.sent_at(echo)),
                 };
-                self.route_caller(now, origin, inner, view, actions);
+                self.route_caller_frame(now, origin, inner, view, actions);
             }
             PeerBody::FromUpstream(inner) => self.handle_owned_upstream_frame(now, inner, actions),
             PeerBody::Load(message) => {
                 let mut decisions = Vec::new();
                 self.policy
                     .handle_message(now, sender, &message, &mut decisions);
-                self.carry_out(now, decisions, actions);
+                self.execute_decisions(now, decisions, actions);
             }
             PeerBody::Heartbeat(heartbeat) => self.membership.take(now, sender, &heartbeat),
             PeerBody::Flow { parties, message } => {
@@ -326,29 +331,30 @@
         }
     }
 
-    /// The host that holds a flow: the first in rank of those that are usable.
+    /// Returns the owner of a flow: the highest-ranked usable host of the flow's ownership group.
     pub(crate) fn owner_of(&self, digest: FlowDigest) -> HostId {
-        let cell = flow_group(digest, self.membership.cells());
-        let owner = match cell {
-            Some(cell) if cell != self.membership.cell() => self.owner_in(cell, digest),
+        let group = flow_group(digest, self.membership.groups());
+        let owner = match group {
+            Some(group) if group != self.membership.group() => self.owner_in_group(group, digest),
             _ => flow_owner(digest, self.membership.usable().iter().copied()),
         };
         owner.unwrap_or(self.settings.host)
     }
 
-    /// The owner in another cell, by the control daemon's hint, for no heartbeats come from there.
-    fn owner_in(&self, cell: CellId, digest: FlowDigest) -> Option<HostId> {
+    /// Returns the owner in another ownership group. No heartbeats come from there, so the usable
+    /// hosts are those of the control daemon's host list.
+    fn owner_in_group(&self, group: GroupId, digest: FlowDigest) -> Option<HostId> {
         let view = self.membership.view();
         let alive = view.alive.iter().copied();
-        let in_cell = |id: &HostId| view.host(*id).is_some_and(|entry| entry.cell == cell);
-        flow_owner(digest, alive.filter(in_cell))
+        let in_group = |id: &HostId| view.host(*id).is_some_and(|entry| entry.cell == group);
+        flow_owner(digest, alive.filter(in_group))
     }
 
-    /// The host that may take on requests of a flow that may not run twice: the first in rank of
-    /// those that hold their claims.
-    pub(crate) fn actor_of(&self, digest: FlowDigest) -> HostId {
-        let cell = flow_group(digest, self.membership.cells());
-        if cell.is_some_and(|cell| cell != self.membership.cell()) {
+    /// Returns the host that may accept non-idempotent requests of a flow: the highest-ranked host
+    /// that holds its lease.
+    pub(crate) fn accepting_host(&self, digest: FlowDigest) -> HostId {
+        let group = flow_group(digest, self.membership.groups());
+        if group.is_some_and(|group| group != self.membership.group()) {
             return self.owner_of(digest);
         }
         let lease_holders = self.membership.lease_holders().iter().copied();
@@ -367,7 +373,7 @@
         let body = PeerBody::FromCaller {
             caller,
             view,
-            echo: self.membership.book().echo_for(host),
+            echo: self.membership.leases().echo_for(host),
             frame,
         };
         self.send_peer(host, hops, body, actions);
@@ -392,8 +398,8 @@
         });
     }
 
-    /// Carries out what the policy decided.
-    pub(crate) fn carry_out(
+    /// Executes the decisions of the load policy.
+    pub(crate) fn execute_decisions(
         &mut self,
         now: Instant,
         decisions: Vec<LoadDecision>,
@@ -415,7 +421,7 @@
                     let refusal = RefusalBody {
                         request: Some(key.request),
                         code,
-                        outcome: self.outcome_now(key),
+                        outcome: self.current_outcome(key),
                         retry_after,
                     };
                     self.refuse_request(key, refusal, actions);
@@ -424,8 +430,8 @@
         }
     }
 
-    /// Whether it is proved that a request has not run.
-    fn outcome_now(&self, key: RequestKey) -> RunOutcome {
+    /// Returns what is known at present of whether a request ran.
+    fn current_outcome(&self, key: RequestKey) -> RunOutcome {
         match self.requests.get(key) {
             Some(record) if matches!(record.stage, RequestStage::Waiting) => {
                 outcome_before_send(record)
@@ -434,15 +440,15 @@
         }
     }
 
-    /// Tells the policy which hosts it shares the upstreams with, by heartbeats.
-    fn tell_hosts(&mut self, now: Instant) {
+    /// Gives the load policy the host list with the hosts that are usable by their heartbeats.
+    fn update_policy_hosts(&mut self, now: Instant) {
         let view = self.membership.view();
-        self.policy_view = Arc::new(HostView {
+        self.policy_hosts = Arc::new(HostView {
             version: view.version,
             published: view.published.clone(),
             alive: self.membership.usable().to_vec(),
         });
-        self.policy.learn_hosts(now, &self.policy_view);
+        self.policy.learn_hosts(now, &self.policy_hosts);
     }
 
     fn start_drain(&mut self, now: Instant, actions: &mut Vec<HostAction>) {
@@ -469,10 +475,10 @@
         }
     }
 
-    /// Reports a drain as complete once nothing is in progress and nobody can ask any more for a
-    /// request that only this host knows of.
-    /// Says once that a drain is complete. It reads every record, so that it is done each tick and
-    /// not at each datagram.
+    /// Reports a drain as complete, once, when no request is in progress, the flows are handed over
+    /// and no copy of a request that only this host has a record of can arrive any more.
+    ///
+    /// It reads every record and is therefore called once a tick, not for each datagram.
     fn report_drained(&mut self, now: Instant, actions: &mut Vec<HostAction>) {
         if !self.draining || self.drained_reported {
             return;
@@ -490,7 +496,7 @@
     }
 }
 
-/// Builds a frame for the caller of `frame`'s flow.
+/// Builds a frame to the caller of the flow of `frame`.
 pub(crate) fn reply(frame: &CallerFrame, body: CallerBody) -> CallerFrame {
     CallerFrame {
         service: frame.service,
--- a/lib/src/host_event.rs
+++ b/lib/src/host_event.rs
@@ -1,4 +1,4 @@
-//! What may happen to a host's decision core.
+//! The events that a host's decision core handles.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,46 +10,47 @@
 use crate::wire_frame::PeerFrame;
 use crate::wire_frame::UpstreamFrame;
 
-/// What an upstream's endpoints said at one moment.
+/// The state of an upstream as its health and load endpoints reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamReport {
-    /// The upstream asked.
+    /// The upstream that reported.
     pub upstream: UpstreamId,
-    /// Whether it called itself healthy.
+    /// Whether it reported itself healthy.
     pub healthy: bool,
-    /// Slots it called busy.
+    /// Busy slots that it reported.
     pub busy_slots: u32,
-    /// Flows it said it holds.
+    /// Flows that it reported to hold.
     pub connections: u32,
 }
 
-/// One event; the time it happened at is passed beside it.
+/// One event. Its time is passed separately.
 #[derive(Clone, Debug)]
 pub enum HostEvent {
-    /// A caller's datagram arrived.
+    /// A datagram of a caller arrived.
     CallerFrame {
-        /// The address it came from.
+        /// Its source address.
         caller: SocketAddr,
         /// Its decoded frame.
         frame: CallerFrame,
     },
-    /// A peer's datagram arrived, and its code was verified.
+    /// A datagram of a peer arrived, and its message authentication code was verified.
     PeerFrame(PeerFrame),
-    /// An upstream's datagram arrived.
+    /// A datagram of an upstream arrived.
     UpstreamFrame {
-        /// The address it came from.
+        /// Its source address.
         source: SocketAddr,
         /// Its decoded frame.
         frame: UpstreamFrame,
     },
-    /// The control daemon delivered a configuration; an older one than that in force is ignored.
+    /// The control daemon delivered a configuration. It is ignored unless it is newer than the one
+    /// in force.
     Config(Arc<ConfigSnapshot>),
-    /// The control daemon delivered its view of the entry hosts.
+    /// The control daemon delivered its list of the entry hosts.
     Hosts(Arc<HostView>),
-    /// What an upstream's health and load endpoints said; it may lag or mislead.
+    /// The health and load endpoints of an upstream reported; the report may be late or wrong.
     UpstreamReport(UpstreamReport),
-    /// The host was asked to stop: finish what is in progress, take nothing new.
+    /// The host shall stop: it finishes what is in progress and accepts nothing new.
     Drain,
-    /// Time has passed; to be sent at least once in [`crate::host_core::TICK`].
+    /// Time has passed. Must be sent at least once every [`crate::host_core::TICK`].
     Tick,
 }
--- a/lib/src/host_status.rs
+++ b/lib/src/host_status.rs
@@ -1,4 +1,4 @@
-//! What a host tells operators of itself.
+//! The status of an entry host, as operators read it.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::ids::Version;
 use crate::unit_text::DurationText;
 
-/// One host's state at one moment.
+/// The state of one host at one moment.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
@@ -18,30 +18,32 @@
     pub host: HostId,
     /// Version of the configuration in force; `None` before the first.
     pub config_version: Option<Version>,
-    /// Time since that configuration was put in force.
+    /// Time since that configuration came into force.
     #[serde_as(as = "Option<DurationText>")]
     pub config_age: Option<Duration>,
     /// Version of the host list in use.
     pub host_list_version: Version,
-    /// How many entry hosts it believes alive, itself included.
+    /// Number of usable entry hosts of its ownership group, itself included.
     pub hosts_alive: usize,
-    /// Whether it may take on requests that must not run twice.
+    /// Whether it holds its lease and may accept non-idempotent requests.
     pub holds_claim: bool,
-    /// Whether its claim is about to be settled, after a start or a change of the cell's members.
+    /// Whether it may soon hold its lease, so that waiting for it makes sense: after a start, a
+    /// change of the members of the ownership group or the loss of a few heartbeats.
     pub settling: bool,
-    /// Whether it is finishing what it has.
+    /// Whether it is draining: it finishes what is in progress and accepts nothing new.
     pub draining: bool,
     /// Flows that it owns.
     pub flows: usize,
-    /// Requests without an outcome yet.
+    /// Requests without an outcome.
     pub requests: usize,
 }
 
 impl HostStatus {
-    /// Why it cannot serve callers at present, or `None` when it can.
+    /// Returns why the host cannot serve callers at present; `None` if it can.
     ///
-    /// A host that lost its claim in a cut is ready: it serves what it can. One that is about to
-    /// get its claim is not: until then it would refuse what it will soon be able to take on.
+    /// A host that lost its lease in a network partition is ready and serves what it can. A host
+    /// that is about to get its lease is not ready, because it would reject requests that it can
+    /// accept soon.
     pub fn unready_reason(&self) -> Option<&'static str> {
         if self.draining {
             return Some("draining");
@@ -55,7 +57,7 @@
         (self.settling && !self.holds_claim).then_some("the claim is not settled yet")
     }
 
-    /// Whether it can serve callers.
+    /// Whether the host can serve callers.
     pub fn is_ready(&self) -> bool {
         self.unready_reason().is_none()
     }
--- a/lib/src/key_version.rs
+++ b/lib/src/key_version.rs
@@ -1,7 +1,8 @@
 //! Versions of published keys across the eras of the platform.
 //!
-//! A platform that comes back from a copy loses its last changes and gives out their revisions again. A version is the
-//! revision with the era above it, so that the later era's is the larger one in every comparison.
+//! A platform that is restored from a backup loses its last changes and reuses their revisions. A
+//! version is therefore the era in the upper bits and the revision in the lower bits, so that
+//! versions of a later era are larger.
 
 use snafu::OptionExt;
 use snafu::Snafu;
@@ -9,13 +10,13 @@
 use crate::ids::PlatformEra;
 use crate::ids::Version;
 
-/// Bits of a version that hold the revision.
+/// Number of bits of a version that hold the revision.
 const REVISION_BITS: u32 = 40;
 
-/// Why a text is no version.
+/// A text that is not a valid version.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{text}` is no version: a revision, or an era and a revision such as 1.105"))]
-pub struct VersionFault {
+pub struct VersionParseError {
     text: String,
 }
 
@@ -33,7 +34,8 @@
     )
 }
 
-/// A version for operators: the revision, with its era and a full stop before it from the second era on.
+/// Formats a version for operators: the revision, preceded by its era and a full stop from the
+/// second era on.
 pub fn format_version(version: Version) -> String {
     match split_version(version) {
         (0, revision) => revision.to_string(),
@@ -41,10 +43,11 @@
     }
 }
 
-/// Reads what [`format_version`] writes.
-pub fn parse_version(text: &str) -> Result<Version, VersionFault> {
+/// Parses the format of [`format_version`]; fails if the text is malformed or a number is too
+/// large.
+pub fn parse_version(text: &str) -> Result<Version, VersionParseError> {
     let (era, revision) = text.split_once('.').unwrap_or(("0", text));
     let parsed = era.parse().ok().zip(revision.parse().ok());
     let version = parsed.and_then(|(era, revision)| compose_version(era, revision));
-    version.context(VersionFaultSnafu { text })
+    version.context(VersionParseSnafu { text })
 }
--- a/lib/src/label_selector.rs
+++ b/lib/src/label_selector.rs
@@ -1,7 +1,7 @@
-//! Selectors: which labels an upstream must have to carry a service's traffic.
+//! Label selectors, which say which upstreams may carry a service's traffic.
 //!
 //! The syntax is the usual one of label selectors: requirements separated by commas, all of which
-//! must hold. [`crate::selector_parser`] reads it.
+//! must hold. [`crate::selector_parser`] parses it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,14 +12,14 @@
 use crate::selector_parser;
 use crate::selector_parser::SelectorError;
 
-/// Labels of an upstream, by key.
+/// The labels of an upstream, by key.
 pub type LabelMap = BTreeMap<SmolStr, SmolStr>;
 
-/// A parsed selector; an upstream matches when every requirement holds.
+/// A parsed selector; an upstream matches if every requirement holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LabelSelector {
-    /// Never empty: a selector without requirements would give a service every upstream, and an
-    /// empty text is far more often a mistake.
+    /// Never empty: a selector without requirements would match every upstream, and an empty text
+    /// is more often a mistake than intended.
     requirements: Vec<LabelRequirement>,
 }
 
@@ -28,24 +28,24 @@
 pub struct LabelRequirement {
     /// The label's key.
     pub key: SmolStr,
-    /// What must hold of the label.
-    pub test: LabelTest,
+    /// The condition on the label.
+    pub condition: LabelCondition,
 }
 
-/// What a requirement asks of a label.
+/// The condition of a requirement on a label.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LabelTest {
-    /// `key = value`: it is there and has this value.
+pub enum LabelCondition {
+    /// `key = value`: the label exists and has this value.
     Equals(SmolStr),
-    /// `key != value`: it is absent or has another value.
+    /// `key != value`: the label is absent or has another value.
     Differs(SmolStr),
-    /// `key in (a, b)`: it is there and has one of these values.
+    /// `key in (a, b)`: the label exists and has one of these values.
     In(BTreeSet<SmolStr>),
-    /// `key notin (a, b)`: it is absent or has none of these values.
+    /// `key notin (a, b)`: the label is absent or has none of these values.
     NotIn(BTreeSet<SmolStr>),
-    /// `key`: it is there.
+    /// `key`: the label exists.
     Exists,
-    /// `!key`: it is absent.
+    /// `!key`: the label is absent.
     Absent,
 }
 
@@ -56,12 +56,12 @@
         Ok(Self { requirements })
     }
 
-    /// Whether labels meet every requirement.
+    /// Whether the labels meet every requirement.
     pub fn matches(&self, labels: &LabelMap) -> bool {
         self.unmet(labels).next().is_none()
     }
 
-    /// The requirements that labels do not meet, in the order written.
+    /// The requirements that the labels do not meet, in the order of the text.
     pub fn unmet<'a>(
         &'a self,
         labels: &'a LabelMap,
@@ -73,16 +73,16 @@
 }
 
 impl LabelRequirement {
-    /// Whether labels meet this requirement.
+    /// Whether the labels meet this requirement.
     pub fn holds(&self, labels: &LabelMap) -> bool {
         let value = labels.get(&self.key);
-        match &self.test {
-            LabelTest::Equals(wanted) => value == Some(wanted),
-            LabelTest::Differs(unwanted) => value != Some(unwanted),
-            LabelTest::In(wanted) => value.is_some_and(|value| wanted.contains(value)),
-            LabelTest::NotIn(unwanted) => !value.is_some_and(|value| unwanted.contains(value)),
-            LabelTest::Exists => value.is_some(),
-            LabelTest::Absent => value.is_none(),
+        match &self.condition {
+            LabelCondition::Equals(wanted) => value == Some(wanted),
+            LabelCondition::Differs(unwanted) => value != Some(unwanted),
+            LabelCondition::In(wanted) => value.is_some_and(|value| wanted.contains(value)),
+            LabelCondition::NotIn(unwanted) => !value.is_some_and(|value| unwanted.contains(value)),
+            LabelCondition::Exists => value.is_some(),
+            LabelCondition::Absent => value.is_none(),
         }
     }
 }
@@ -102,18 +102,20 @@
 impl fmt::Display for LabelRequirement {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let key = &self.key;
-        match &self.test {
-            LabelTest::Equals(value) => write!(formatter, "{key} = {value}"),
-            LabelTest::Differs(value) => write!(formatter, "{key} != {value}"),
-            LabelTest::In(values) => write!(formatter, "{key} in ({})", joined(values)),
-            LabelTest::NotIn(values) => write!(formatter, "{key} notin ({})", joined(values)),
-            LabelTest::Exists => write!(formatter, "{key}"),
-            LabelTest::Absent => write!(formatter, "!{key}"),
+        match &self.condition {
+            LabelCondition::Equals(value) => write!(formatter, "{key} = {value}"),
+            LabelCondition::Differs(value) => write!(formatter, "{key} != {value}"),
+            LabelCondition::In(values) => write!(formatter, "{key} in ({})", join_values(values)),
+            LabelCondition::NotIn(values) => {
+                write!(formatter, "{key} notin ({})", join_values(values))
+            }
+            LabelCondition::Exists => write!(formatter, "{key}"),
+            LabelCondition::Absent => write!(formatter, "!{key}"),
         }
     }
 }
 
-fn joined(values: &BTreeSet<SmolStr>) -> String {
+fn join_values(values: &BTreeSet<SmolStr>) -> String {
     let texts: Vec<&str> = values.iter().map(SmolStr::as_str).collect();
     texts.join(", ")
 }
--- a/lib/src/label_syntax.rs
+++ b/lib/src/label_syntax.rs
@@ -1,18 +1,19 @@
-//! What a label's key and value may look like: the usual rules, so that other tools read them too.
+//! Checks the syntax of label keys and values: the usual rules, so that other tools accept them
+//! too.
 
 use snafu::Snafu;
 
 use crate::label_selector::LabelMap;
 
-/// Longest name or value in bytes.
-pub const MAX_NAME: usize = 63;
-/// Longest prefix of a key, before its `/`, in bytes.
-pub const MAX_PREFIX: usize = 253;
+/// Maximum length of a name or value.
+pub const MAX_NAME_BYTES: usize = 63;
+/// Maximum length of a key's prefix, before its `/`.
+pub const MAX_PREFIX_BYTES: usize = 253;
 
-/// Why a key or value is not a valid one.
+/// Why a key or value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum LabelError {
-    /// There is nothing where a key should be.
+    /// A key, or its prefix or name, is empty.
     #[snafu(display("a label's key is empty"))]
     EmptyKey,
     /// The text is longer than allowed.
@@ -20,26 +21,26 @@
     TooLong {
         /// The text.
         text: String,
-        /// The longest allowed.
+        /// The maximum length in bytes.
         limit: usize,
     },
     /// The text has a character that is not allowed.
     #[snafu(display("`{text}`: `{}` is not allowed here", character.escape_default()))]
-    Character {
+    InvalidCharacter {
         /// The text.
         text: String,
         /// The first such character.
         character: char,
     },
-    /// The text begins or ends with a sign.
+    /// The text starts or ends with a character that is not a letter or digit.
     #[snafu(display("`{text}` must begin and end with a letter or digit"))]
-    Edge {
+    InvalidEdge {
         /// The text.
         text: String,
     },
 }
 
-/// Whether a character may stand in a key or a value.
+/// Whether a character is allowed in a key or a value.
 pub fn is_label_char(character: char) -> bool {
     character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.' | '/')
 }
@@ -49,7 +50,7 @@
     match key.split_once('/') {
         None => check_name(key),
         Some((prefix, name)) => {
-            check_part(prefix, MAX_PREFIX)?;
+            check_segment(prefix, MAX_PREFIX_BYTES)?;
             check_name(name)
         }
     }
@@ -60,10 +61,10 @@
     if value.is_empty() {
         return Ok(());
     }
-    check_part(value, MAX_NAME)
+    check_segment(value, MAX_NAME_BYTES)
 }
 
-/// Checks every key and value of an upstream's labels.
+/// Checks all keys and values of an upstream's labels; fails on the first fault.
 pub fn check_labels(labels: &LabelMap) -> Result<(), LabelError> {
     for (key, value) in labels {
         check_key(key)?;
@@ -73,10 +74,10 @@
 }
 
 fn check_name(name: &str) -> Result<(), LabelError> {
-    check_part(name, MAX_NAME)
+    check_segment(name, MAX_NAME_BYTES)
 }
 
-fn check_part(text: &str, limit: usize) -> Result<(), LabelError> {
+fn check_segment(text: &str, limit: usize) -> Result<(), LabelError> {
     if text.is_empty() {
         return EmptyKeySnafu.fail();
     }
@@ -85,11 +86,11 @@
     }
     let forbidden = |character: &char| *character == '/' || !is_label_char(*character);
     if let Some(character) = text.chars().find(forbidden) {
-        return CharacterSnafu { text, character }.fail();
+        return InvalidCharacterSnafu { text, character }.fail();
     }
-    let at_edge = |character: char| character.is_ascii_alphanumeric();
-    if !text.starts_with(at_edge) || !text.ends_with(at_edge) {
-        return EdgeSnafu { text }.fail();
+    let is_alphanumeric = |character: char| character.is_ascii_alphanumeric();
+    if !text.starts_with(is_alphanumeric) || !text.ends_with(is_alphanumeric) {
+        return InvalidEdgeSnafu { text }.fail();
     }
     Ok(())
 }
--- a/lib/src/lease_table.rs
+++ b/lib/src/lease_table.rs
@@ -22,8 +22,8 @@
 use crate::group_heartbeat::HEARTBEAT_INTERVAL;
 use crate::group_heartbeat::HeartbeatEcho;
 use crate::group_heartbeat::MemberSetStage;
+use crate::ids::Generation;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::lease_vote::LeaseSettings;
 use crate::lease_vote::PeerVote;
 
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct LeaseTable {
     host: HostId,
-    incarnation: Incarnation,
+    incarnation: Generation,
     settings: LeaseSettings,
     /// Invariant: in ascending order, at most [`crate::group_heartbeat::MAX_GROUP_HOSTS`] entries.
     members: Vec<HostId>,
@@ -63,7 +63,7 @@
     pub fn new(
         now: Instant,
         host: HostId,
-        incarnation: Incarnation,
+        incarnation: Generation,
         settings: LeaseSettings,
     ) -> Self {
         Self {
--- a/lib/src/lease_vote.rs
+++ b/lib/src/lease_vote.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use crate::group_heartbeat::MemberSetStage;
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 
 /// Durations that leases depend on; identical on every host.
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
 /// The last heartbeat of a peer, and the votes that were exchanged with it.
 #[derive(Debug, Default)]
 pub(crate) struct PeerVote {
-    pub(crate) incarnation: Incarnation,
+    pub(crate) incarnation: Generation,
     pub(crate) number: u64,
     pub(crate) heard_at: Option<Instant>,
     pub(crate) member_set: u32,
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of lagoonproxy, a layer-4 load balancer: no sockets, no clocks, no threads.
+//! The decision logic of lagoonproxy, a layer-4 load balancer, without sockets, clocks or threads.
 //!
-//! A host's whole decision logic is driven through one door, [`host_core::HostCore`]: events and
-//! the present time go in, actions come out. The daemons are thin shells around it.
+//! [`host_core::HostCore`] decides for an entry host's data path and [`control_core::ControlCore`]
+//! for its configuration. Both turn events and their times into actions, which the daemons execute.
 
 pub mod allocator_map;
 pub mod answer_buffer;
@@ -9,7 +9,7 @@
 pub mod byte_budget;
 pub mod caller_usage;
 pub mod config_check;
-mod config_force;
+mod config_delivery;
 pub mod config_relay;
 pub mod config_scope;
 pub mod config_snapshot;
@@ -61,8 +61,8 @@
 pub mod pool_borrowing;
 pub mod pool_upstream;
 pub mod published_config;
-pub mod reader_duty;
 pub mod reader_rank;
+pub mod reader_role;
 pub mod record_query;
 mod relay_link;
 pub mod relay_message;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -17,9 +17,9 @@
 use crate::group_heartbeat::GroupHeartbeat;
 use crate::group_heartbeat::HEARTBEAT_INTERVAL;
 use crate::group_heartbeat::MAX_GROUP_HOSTS;
-use crate::ids::CellId;
+use crate::ids::Generation;
+use crate::ids::GroupId;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::Version;
 use crate::lease_table::LeaseTable;
 use crate::lease_vote::LeaseSettings;
@@ -69,17 +69,17 @@
     pending_view: Option<PendingView>,
     /// How long a new process stays on standby.
     standby: Duration,
-    cell: CellId,
+    group: GroupId,
     peers: BTreeMap<HostId, PeerLiveness>,
     /// The ownership groups of the published hosts, ascending.
-    cells: Vec<CellId>,
+    groups: Vec<GroupId>,
     /// Usable hosts of this host's ownership group, ascending.
     usable: Vec<HostId>,
     /// Hosts of this host's ownership group that hold their leases, ascending.
     lease_holders: Vec<HostId>,
     /// A process or member that is gone may have accepted requests first sent before this time.
     record_horizon: Instant,
-    book: LeaseTable,
+    leases: LeaseTable,
     heartbeat_deadline: Instant,
     last_event: Option<Instant>,
     backlog_deadline: Option<Instant>,
@@ -92,7 +92,7 @@
     pub fn new(
         now: Instant,
         host: HostId,
-        incarnation: Incarnation,
+        incarnation: Generation,
         max_datagram_age: Duration,
     ) -> Self {
         let settings = LeaseSettings {
@@ -105,13 +105,13 @@
             view: Arc::default(),
             pending_view: None,
             standby: settings.standby,
-            cell: CellId::default(),
+            group: GroupId::default(),
             peers: BTreeMap::new(),
-            cells: Vec::new(),
+            groups: Vec::new(),
             usable: vec![host],
             lease_holders: Vec::new(),
             record_horizon: now,
-            book: LeaseTable::new(now, host, incarnation, settings),
+            leases: LeaseTable::new(now, host, incarnation, settings),
             heartbeat_deadline: now,
             last_event: None,
             backlog_deadline: None,
@@ -125,7 +125,7 @@
     /// Other hosts may have taken over during a stall. The lease is therefore given up until a
     /// heartbeat sent after the stall is echoed, and silence during the stall is not counted
     /// against any peer.
-    pub fn observe(&mut self, now: Instant) {
+    pub fn detect_stall(&mut self, now: Instant) {
         let last_event = self.last_event.replace(now).unwrap_or(now);
         let gap = now.saturating_duration_since(last_event);
         if gap < STALL_THRESHOLD {
@@ -136,7 +136,7 @@
         for peer in self.peers.values_mut() {
             peer.heard_at += gap;
         }
-        self.book.handle_stall(now);
+        self.leases.handle_stall(now);
     }
 
     /// Whether a datagram read now may have been queued while this process was stalled, which makes
@@ -155,8 +155,8 @@
         if view.version < self.known_version() {
             return;
         }
-        let same_members = self.members_of(view) == self.book.members();
-        if same_members || self.book.is_fresh() {
+        let same_members = self.members_of(view) == self.leases.members();
+        if same_members || self.leases.is_fresh() {
             self.pending_view = None;
             return self.adopt(now, view);
         }
@@ -167,7 +167,7 @@
             wait_deadline: now + LIST_ADOPTION_TIMEOUT,
         });
         let members = self.members_of(view);
-        let adds_members = members.iter().any(|id| !self.book.members().contains(id));
+        let adds_members = members.iter().any(|id| !self.leases.members().contains(id));
         if adds_members {
             pending.hold_deadline = now + self.standby;
         }
@@ -205,32 +205,32 @@
         self.adopt(now, &view);
     }
 
-    fn cell_in(&self, view: &HostView) -> CellId {
-        view.host(self.host).map_or(self.cell, |own| own.cell)
+    fn group_in(&self, view: &HostView) -> GroupId {
+        view.host(self.host).map_or(self.group, |own| own.cell)
     }
 
     fn members_of(&self, view: &HostView) -> Vec<HostId> {
-        let cell = self.cell_in(view);
+        let group = self.group_in(view);
         let published = view.published.iter();
         published
-            .filter(|entry| entry.cell == cell)
+            .filter(|entry| entry.cell == group)
             .map(|entry| entry.id)
             .take(MAX_GROUP_HOSTS)
             .collect()
     }
 
     fn adopt(&mut self, now: Instant, view: &Arc<HostView>) {
-        self.cell = self.cell_in(view);
+        self.group = self.group_in(view);
         self.view = Arc::clone(view);
         let members = self.members_of(view);
-        let cells: BTreeSet<CellId> = view.published.iter().map(|entry| entry.cell).collect();
-        self.cells = cells.into_iter().collect();
+        let groups: BTreeSet<GroupId> = view.published.iter().map(|entry| entry.cell).collect();
+        self.groups = groups.into_iter().collect();
         self.record_removed_members(now, &members);
         self.peers.retain(|id, _peer| members.contains(id));
         for id in &members {
             self.watch(now, *id);
         }
-        self.book.set_members(now, &members);
+        self.leases.set_members(now, &members);
         self.refresh(now);
     }
 
@@ -239,7 +239,7 @@
         if id == self.host {
             return;
         }
-        self.book.watch(id);
+        self.leases.watch(id);
         self.peers.entry(id).or_insert(PeerLiveness {
             heard_at: now,
             leaving_since: None,
@@ -249,12 +249,12 @@
     }
 
     fn is_member(&self, id: HostId) -> bool {
-        self.book.members().binary_search(&id).is_ok()
+        self.leases.members().binary_search(&id).is_ok()
     }
 
     /// Processes a peer's heartbeat. The caller has checked that the sender is in the host list.
     pub fn take(&mut self, now: Instant, sender: HostId, heartbeat: &GroupHeartbeat) {
-        if !self.book.handle_heartbeat(now, sender, heartbeat) {
+        if !self.leases.handle_heartbeat(now, sender, heartbeat) {
             return;
         }
         if let Some(peer) = self.peers.get_mut(&sender) {
@@ -274,7 +274,7 @@
     /// the ownership group.
     pub fn tick(&mut self, now: Instant) -> Vec<(HostId, GroupHeartbeat)> {
         self.adopt_next(now);
-        self.book.tick(now);
+        self.leases.tick(now);
         self.refresh(now);
         if now < self.heartbeat_deadline {
             return Vec::new();
@@ -286,7 +286,7 @@
     /// Marks this host as leaving and returns heartbeats that announce it at once.
     pub fn leave(&mut self, now: Instant) -> Vec<(HostId, GroupHeartbeat)> {
         self.leaving = true;
-        self.book.leave(now);
+        self.leases.leave(now);
         self.refresh(now);
         self.heartbeat_deadline = now + HEARTBEAT_INTERVAL;
         self.heartbeats(now)
@@ -306,14 +306,14 @@
     }
 
     /// The ownership group of this host.
-    pub fn cell(&self) -> CellId {
-        self.cell
+    pub fn group(&self) -> GroupId {
+        self.group
     }
 
     /// The published members of the ownership group, ascending; includes this host if it is
     /// published.
     pub fn members(&self) -> &[HostId] {
-        self.book.members()
+        self.leases.members()
     }
 
     /// The members of the ownership group that take new work, ascending; includes this host unless
@@ -334,8 +334,8 @@
     }
 
     /// The ownership groups of the published hosts, ascending.
-    pub fn cells(&self) -> &[CellId] {
-        &self.cells
+    pub fn groups(&self) -> &[GroupId] {
+        &self.groups
     }
 
     /// A request first sent before this time may have been accepted by a process or host that can
@@ -350,8 +350,8 @@
     }
 
     /// The leases of the ownership group.
-    pub fn book(&self) -> &LeaseTable {
-        &self.book
+    pub fn leases(&self) -> &LeaseTable {
+        &self.leases
     }
 
     /// Moves the record horizon when members are removed, because their records can no longer be
@@ -377,7 +377,7 @@
         let peers: Vec<HostId> = self.peers.keys().copied().collect();
         let list_version = self.known_version();
         let mut next_heartbeat = |id| {
-            let mut heartbeat = self.book.next_heartbeat(now, id);
+            let mut heartbeat = self.leases.next_heartbeat(now, id);
             heartbeat.list_version = list_version;
             (id, heartbeat)
         };
@@ -407,7 +407,7 @@
             })
             .map(|(id, _peer)| *id)
             .collect();
-        if self.book.holds_claim(now) {
+        if self.leases.holds_claim(now) {
             let index = self.lease_holders.partition_point(|id| *id < self.host);
             self.lease_holders.insert(index, self.host);
         }
--- a/lib/src/owner_rank.rs
+++ b/lib/src/owner_rank.rs
@@ -4,8 +4,8 @@
 
 use crate::flow_hash::rendezvous_key;
 use crate::flow_hash::rendezvous_weight;
-use crate::ids::CellId;
 use crate::ids::FlowDigest;
+use crate::ids::GroupId;
 use crate::ids::HostId;
 
 /// Keeps the weights of ownership groups independent of those of hosts with the same number.
@@ -26,7 +26,7 @@
 }
 
 /// Returns the ownership group of a flow among `groups`, or `None` if `groups` is empty.
-pub fn flow_group(digest: FlowDigest, groups: &[CellId]) -> Option<CellId> {
+pub fn flow_group(digest: FlowDigest, groups: &[GroupId]) -> Option<GroupId> {
     let key = rendezvous_key(digest) ^ GROUP_SALT;
     let groups = groups.iter().copied();
     groups.max_by_key(|group| (rendezvous_weight(key, u64::from(*group)), *group))
--- a/lib/src/peer_proof.rs
+++ b/lib/src/peer_proof.rs
@@ -1,8 +1,8 @@
-//! How two control daemons prove to each other that they know the key that the user's hosts share.
+//! Mutual authentication of two control daemons by the key that the user's hosts share.
 //!
-//! Each sends a random number, and the other answers with a keyed hash over both numbers, so that
-//! a recorded exchange is worth nothing later. The messages that follow are not authenticated one
-//! by one: whoever can change bytes inside an open TCP connection is not kept out.
+//! Each side sends a nonce, and the other replies with a keyed hash over both nonces, so that a
+//! recorded exchange cannot be replayed. The messages after that are not authenticated one by one,
+//! so an attacker who can change bytes inside an open TCP connection is not kept out.
 
 use std::hash::Hasher;
 
@@ -14,31 +14,32 @@
 use crate::ids::HostId;
 use crate::shared_key::SharedKey;
 
-/// Sets these hashes apart from every other use of the key.
+/// Separates these hashes from every other use of the key.
 const DOMAIN: &[u8] = b"lagoon control link";
 
-/// Random number that one side of a link chooses.
+/// The nonce of one side of a link.
 pub type LinkNonce = u128;
 
-/// Which side of a link a proof is from; the sides must differ, or an echo would be a proof.
+/// The side of a link that a proof comes from. The proofs of the two sides differ, so that an
+/// echoed proof is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkSide {
-    /// The side that opened it.
+    /// The side that opened the link.
     Opener,
-    /// The side that accepted it.
+    /// The side that accepted the link.
     Acceptor,
 }
 
-/// One side's number and host, sent in the clear.
+/// The host number and nonce of one side of a link, sent in plain text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkGreeting {
-    /// The host.
+    /// The host's number.
     pub host: HostId,
-    /// Its number.
+    /// The nonce.
     pub nonce: LinkNonce,
 }
 
-/// The proof that `side` knows the key.
+/// Returns the proof that `side` knows the key.
 pub fn link_proof(
     key: SharedKey,
     side: LinkSide,
--- a/lib/src/placement_table.rs
+++ b/lib/src/placement_table.rs
@@ -20,7 +20,7 @@
 use crate::flow_hash::rendezvous_key;
 use crate::flow_hash::rendezvous_weight;
 use crate::ids::FlowDigest;
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
 
@@ -41,7 +41,7 @@
     /// The upstream.
     pub upstream: UpstreamId,
     /// The upstream's published generation. Another generation is another member.
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
 }
 
 /// The upstreams of a service under one configuration.
--- a/lib/src/platform_feed.rs
+++ b/lib/src/platform_feed.rs
@@ -1,9 +1,9 @@
-//! Reads the platform for one host: lists its keys, fetches what is missing, watches for changes.
+//! Reads the platform for one host: lists its keys, fetches missing values and watches for changes.
 //!
-//! Load pattern: the platform answers two thousand calls a second for the whole fleet and may be
-//! away for hours. A host that starts lists the keys once and takes the values from its peers;
-//! only readers hold watches, and failed calls back off with jitter so that the fleet does not
-//! come back in step.
+//! Load pattern: the platform serves 2,000 calls per second for the whole fleet and may be
+//! unavailable for hours. A host that starts lists the keys once and takes the values from its
+//! peers. Only readers hold watches. Failed calls back off with jitter, so that the fleet does not
+//! retry in step.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,146 +21,149 @@
 use crate::config_value::KeyValue;
 use crate::control_event::CallId;
 use crate::control_event::ControlAction;
-use crate::control_event::PlatformAnswer;
 use crate::control_event::PlatformRequest;
+use crate::control_event::PlatformResponse;
 use crate::control_event::PublishedKey;
 use crate::ids::ConfigKey;
 use crate::ids::Version;
 use crate::result_code::ResultCode;
 
-/// How long the platform may hold a watch.
+/// Time for which the platform may hold a watch without changes.
 pub const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// How long an answer may take beyond the wait that was asked for.
-pub const CALL_PATIENCE: Duration = Duration::from_secs(3);
-/// Pause after a first failed call; doubles with each further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest pause between calls while the platform fails.
+/// Time for a response beyond the wait of the call; the call fails after both.
+pub const CALL_TIMEOUT_MARGIN: Duration = Duration::from_secs(3);
+/// Pause after the first failed call; it doubles with each further one.
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
+/// Maximum pause between calls while the platform fails.
 ///
-/// At most sixteen hosts a zone try, which at 33 zones and a call a minute is nine calls a second.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
-/// How long a starting host leaves it to its peers to bring the values.
-const PEER_PATIENCE: Duration = Duration::from_secs(2);
-/// Shortest time between two calls that ask whether other prefixes changed too.
-const CONFIRM_GAP: Duration = Duration::from_millis(200);
-/// Pause before the next watch after one that brought changes.
+/// At most 16 hosts of a zone retry, which for 33 zones and one call per minute is nine calls per
+/// second.
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
+/// Time during which a starting host takes values only from its peers.
+const PEER_DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum interval of the calls that check whether a prefix changed too.
+const MIN_CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause between a watch that returned changes and the next one, in which changes accumulate.
 ///
-/// With 60 changes a second and a watch for each, the headers of the calls cost more than the
-/// changes, and the prefixes were never seen at one revision; in the pause changes gather.
-const WATCH_GAP: Duration = Duration::from_millis(200);
+/// With 60 changes per second and one watch for each, the headers of the calls cost more than the
+/// changes, and the prefixes never reached the same revision.
+const PAUSE_AFTER_CHANGES: Duration = Duration::from_millis(200);
 
-/// A call in flight.
+/// A call in progress.
 struct OpenCall {
     call: CallId,
     deadline: Instant,
     request: PlatformRequest,
-    /// Revision that was held when the call was made; a younger answer is at least that new.
+    /// Revision that was held when the call was made; a response with an older revision is
+    /// rejected.
     held: Version,
 }
 
-/// How far the reading of a prefix is.
+/// The progress of reading a prefix.
 enum FeedStage {
-    /// Its keys are not known.
+    /// The keys of the prefix have not been listed.
     Unlisted,
-    /// Values of these versions or newer are still to come, from peers or the platform.
+    /// Values of these versions or newer are missing, and come from peers or the platform.
     Fetching {
         revision: Version,
         missing: BTreeMap<ConfigKey, Version>,
-        own_fetch_from: Instant,
+        platform_fetch_from: Instant,
     },
-    /// Everything that was listed is held.
+    /// All listed keys are held.
     Listed,
 }
 
-/// The reading of one prefix.
+/// The state of reading one prefix.
 struct PrefixFeed {
     prefix: ConfigKey,
     stage: FeedStage,
     /// Every change under the prefix up to this revision is held.
-    known: Version,
-    /// The list, fetch or watch in flight.
+    known_revision: Version,
+    /// The list, value or watch call in progress.
     open: Option<OpenCall>,
-    /// A watch without wait, beside the waiting one.
+    /// A watch without wait, in addition to the waiting one.
     confirm: Option<OpenCall>,
-    confirm_from: Instant,
-    watch_from: Instant,
+    next_confirm: Instant,
+    next_watch: Instant,
 }
 
-/// Whether a host has reason to call the platform.
+/// What determines which calls a host makes on the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedDemand {
-    /// It is a reader of its zone, or has no peers: watch.
+    /// Whether the host watches: it is a reader of its zone, or has no peers.
     pub reading: bool,
-    /// Peers are delivering values at present: do not fetch them from the platform too.
-    pub peers_deliver: bool,
+    /// Whether peers are sending values at present, so that they are not fetched from the platform
+    /// too.
+    pub peers_delivering: bool,
 }
 
-/// The reading of every prefix of a host's scope.
+/// Reads all prefixes of the keys that a host needs.
 pub struct PlatformFeed {
     feeds: Vec<PrefixFeed>,
     next_call: CallId,
     failures: u32,
-    retry_from: Instant,
-    answered: bool,
+    next_retry: Instant,
+    has_responded: bool,
     stale: bool,
     budget: ByteBudget,
     random: StdRng,
 }
 
 impl PlatformFeed {
-    /// Makes a feed that has read nothing.
+    /// Creates a feed that has read nothing.
     pub fn new(now: Instant, prefixes: &[ConfigKey], budget: ByteBudget, seed: u64) -> Self {
         let feed = |prefix: &ConfigKey| PrefixFeed {
             prefix: prefix.clone(),
             stage: FeedStage::Unlisted,
-            known: 0,
+            known_revision: 0,
             open: None,
             confirm: None,
-            confirm_from: now,
-            watch_from: now,
+            next_confirm: now,
+            next_watch: now,
         };
         Self {
             feeds: prefixes.iter().map(feed).collect(),
             next_call: 1,
             failures: 0,
-            retry_from: now,
-            answered: false,
+            next_retry: now,
+            has_responded: false,
             stale: false,
             budget,
             random: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Whether the last call was answered with nothing older than what is held.
+    /// Whether the last call got a response, and that was not older than what is held.
     pub fn in_touch(&self) -> bool {
-        self.answered && self.failures == 0
+        self.has_responded && self.failures == 0
     }
 
-    /// Whether at least one call has failed since the last answer.
+    /// Whether at least one call has failed since the last accepted response.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Whether the platform's last answer was older than what is held.
+    /// Whether the platform's last response was older than what is held.
     pub fn is_stale(&self) -> bool {
         self.stale
     }
 
-    /// Bytes read from the platform.
+    /// Bytes of calls on the platform and their responses.
     pub fn bytes_read(&self) -> u64 {
         self.budget.sent(TrafficClass::Change)
     }
 
-    /// Calls made on the platform.
+    /// Number of calls made on the platform.
     pub fn calls(&self) -> u64 {
         self.next_call - 1
     }
 
-    /// Takes the bytes of a call and its answer off the budget.
+    /// Charges the bytes of a call and its response to the read budget.
     pub fn spend(&mut self, bytes: usize) {
         self.budget.spend(TrafficClass::Change, bytes);
     }
 
-    /// Keys that the platform listed and that are not held.
+    /// The keys that the platform listed and that are not held, with their listed versions.
     pub fn missing(&self) -> BTreeMap<ConfigKey, Version> {
         let mut all = BTreeMap::new();
         for feed in &self.feeds {
@@ -177,17 +180,17 @@
         self.feeds.iter().all(listed)
     }
 
-    /// Takes note of listed keys that peers have brought; to be called each tick.
+    /// Removes the keys that peers have sent from the missing ones; to be called on each tick.
     ///
-    /// At each answer it would make the start of a host cost the square of its keys.
+    /// If each update did this, the cost of a host's start would grow with the square of its keys.
     pub fn sweep(&mut self, store: &mut ConfigStore) {
         for feed in &mut self.feeds {
-            feed.drop_missing(store);
+            feed.remove_received(store);
         }
         self.advance_through(store);
     }
 
-    /// Makes the calls that are due.
+    /// Starts the calls that are due, within the read budget.
     pub fn poll(
         &mut self,
         now: Instant,
@@ -196,27 +199,28 @@
         actions: &mut Vec<ControlAction>,
     ) {
         self.expire_calls(now, actions);
-        if now < self.retry_from || !self.budget.allows(now, TrafficClass::Removal) {
+        if now < self.next_retry || !self.budget.allows(now, TrafficClass::Removal) {
             return;
         }
         for index in 0..self.feeds.len() {
             if self.feeds[index].open.is_none()
                 && let Some(request) = self.feeds[index].next_request(now, store, demand)
             {
-                let held = self.feeds[index].known.max(store.through());
+                let held = self.feeds[index].known_revision.max(store.through());
                 let open = self.call(now, request, held, actions);
                 self.feeds[index].open = Some(open);
             }
             if self.failures > 0 {
-                // One prefix tries until the platform answers; the others would only add calls.
+                // One prefix is enough to probe the platform; calls for the others would only add
+                // load.
                 return;
             }
             self.confirm(now, index, store, demand, actions);
         }
     }
 
-    /// Asks without wait whether a prefix changed too, when another one is ahead of it; the answer
-    /// makes the state whole again without waiting for the watch to end.
+    /// Checks without wait whether a prefix changed too while another one is ahead of it. The
+    /// response makes the state whole again before the waiting watch ends.
     fn confirm(
         &mut self,
         now: Instant,
@@ -227,19 +231,19 @@
     ) {
         let feed = &self.feeds[index];
         let watching = demand.reading && matches!(feed.stage, FeedStage::Listed);
-        let due = feed.confirm.is_none() && now >= feed.confirm_from;
-        if !watching || !due || feed.known >= store.newest() {
+        let due = feed.confirm.is_none() && now >= feed.next_confirm;
+        if !watching || !due || feed.known_revision >= store.newest() {
             return;
         }
         let request = PlatformRequest::Watch {
             prefix: feed.prefix.clone(),
-            after: feed.known,
+            after: feed.known_revision,
             wait: Duration::ZERO,
         };
-        let held = self.feeds[index].known;
+        let held = self.feeds[index].known_revision;
         let open = self.call(now, request, held, actions);
         self.feeds[index].confirm = Some(open);
-        self.feeds[index].confirm_from = now + CONFIRM_GAP;
+        self.feeds[index].next_confirm = now + MIN_CONFIRM_INTERVAL;
     }
 
     fn call(
@@ -261,42 +265,42 @@
         });
         OpenCall {
             call,
-            deadline: now + wait + CALL_PATIENCE,
+            deadline: now + wait + CALL_TIMEOUT_MARGIN,
             request,
             held,
         }
     }
 
-    /// Takes the answer to a call; answers to calls that were given up are ignored.
-    pub fn take_answer(
+    /// Handles the response to a call; responses to calls that have expired are ignored.
+    pub fn handle_response(
         &mut self,
         now: Instant,
         store: &mut ConfigStore,
         call: CallId,
-        answer: PlatformAnswer,
+        response: PlatformResponse,
         actions: &mut Vec<ControlAction>,
     ) {
-        let Some((index, open)) = self.close_call(call) else {
+        let Some((index, open)) = self.take_open_call(call) else {
             return;
         };
-        if answer == PlatformAnswer::Unreachable {
+        if response == PlatformResponse::Unreachable {
             self.fail(now, ResultCode::PlatformUnreachable, actions);
             return;
         }
-        if is_older(&answer, open.held) {
+        if is_older(&response, open.held) {
             self.stale = true;
             self.fail(now, ResultCode::PlatformStale, actions);
             return;
         }
         self.failures = 0;
-        self.answered = true;
+        self.has_responded = true;
         self.stale = false;
-        self.retry_from = now;
-        self.feeds[index].take_answer(now, store, &open.request, answer);
+        self.next_retry = now;
+        self.feeds[index].handle_response(now, store, &open.request, response);
         self.advance_through(store);
     }
 
-    fn close_call(&mut self, call: CallId) -> Option<(usize, OpenCall)> {
+    fn take_open_call(&mut self, call: CallId) -> Option<(usize, OpenCall)> {
         for (index, feed) in self.feeds.iter_mut().enumerate() {
             for slot in [&mut feed.open, &mut feed.confirm] {
                 if let Some(open) = slot.take_if(|open| open.call == call) {
@@ -323,19 +327,19 @@
         actions.push(ControlAction::Count(code));
         let factor = 1_u32 << self.failures.min(10);
         self.failures += 1;
-        let pause = (FIRST_BACKOFF * factor).min(LONGEST_BACKOFF);
-        self.retry_from = now + pause.mul_f64(self.random.random_range(0.5..1.0));
+        let pause = (MIN_BACKOFF * factor).min(MAX_BACKOFF);
+        self.next_retry = now + pause.mul_f64(self.random.random_range(0.5..1.0));
     }
 
     fn advance_through(&self, store: &mut ConfigStore) {
-        let through = self.feeds.iter().map(|feed| feed.known).min();
+        let through = self.feeds.iter().map(|feed| feed.known_revision).min();
         store.complete(through.unwrap_or(0));
     }
 }
 
 impl PrefixFeed {
-    /// Values may have come from peers in the meantime.
-    fn drop_missing(&mut self, store: &ConfigStore) {
+    /// Removes the keys from the missing ones that peers have sent in the meantime.
+    fn remove_received(&mut self, store: &ConfigStore) {
         let FeedStage::Fetching {
             revision, missing, ..
         } = &mut self.stage
@@ -344,7 +348,7 @@
         };
         missing.retain(|key, version| store.version_of(key) < *version);
         if missing.is_empty() {
-            self.known = self.known.max(*revision);
+            self.known_revision = self.known_revision.max(*revision);
             self.stage = FeedStage::Listed;
         }
     }
@@ -361,21 +365,21 @@
             }),
             FeedStage::Fetching {
                 missing,
-                own_fetch_from,
+                platform_fetch_from,
                 ..
             } => {
-                let own_fetch = demand.reading || now >= *own_fetch_from;
-                // Without the list of hosts there are no peers to wait for.
+                let may_fetch = demand.reading || now >= *platform_fetch_from;
+                // Without the host list there are no peers to wait for.
                 let key = missing.keys().find(|key| {
-                    key.starts_with(HOSTS_PREFIX) || (own_fetch && !demand.peers_deliver)
+                    key.starts_with(HOSTS_PREFIX) || (may_fetch && !demand.peers_delivering)
                 })?;
                 Some(PlatformRequest::Value { key: key.clone() })
             }
-            FeedStage::Listed if demand.reading && now >= self.watch_from => {
-                self.known = self.known.max(store.through());
+            FeedStage::Listed if demand.reading && now >= self.next_watch => {
+                self.known_revision = self.known_revision.max(store.through());
                 Some(PlatformRequest::Watch {
                     prefix: self.prefix.clone(),
-                    after: self.known,
+                    after: self.known_revision,
                     wait: WATCH_WAIT,
                 })
             }
@@ -383,39 +387,40 @@
         }
     }
 
-    fn take_answer(
+    fn handle_response(
         &mut self,
         now: Instant,
         store: &mut ConfigStore,
         request: &PlatformRequest,
-        answer: PlatformAnswer,
+        response: PlatformResponse,
     ) {
-        match answer {
-            PlatformAnswer::Keys { revision, keys } => {
-                self.take_keys(now, store, revision, keys);
+        match response {
+            PlatformResponse::Keys { revision, keys } => {
+                self.handle_key_list(now, store, revision, keys);
             }
-            PlatformAnswer::Value(published) => {
+            PlatformResponse::Value(published) => {
                 if let Some(published) = published {
                     join_published(store, published);
                 }
-                self.forget_missing(request);
+                self.mark_fetched(request);
             }
-            PlatformAnswer::Changes { revision, changes } => {
+            PlatformResponse::Changes { revision, changes } => {
                 if !changes.is_empty() {
-                    self.watch_from = now + WATCH_GAP;
+                    self.next_watch = now + PAUSE_AFTER_CHANGES;
                 }
                 for published in changes {
                     join_published(store, published);
                 }
-                self.known = self.known.max(revision);
+                self.known_revision = self.known_revision.max(revision);
             }
-            PlatformAnswer::HistoryGone => self.stage = FeedStage::Unlisted,
-            PlatformAnswer::Unreachable => {}
+            PlatformResponse::HistoryDropped => self.stage = FeedStage::Unlisted,
+            PlatformResponse::Unreachable => {}
         }
     }
 
-    /// A key that is held but not listed was deleted at some revision up to this one.
-    fn take_keys(
+    /// Compares the listed keys with the held ones. A key that is held but not listed was deleted
+    /// at some revision up to the list's.
+    fn handle_key_list(
         &mut self,
         now: Instant,
         store: &mut ConfigStore,
@@ -436,14 +441,14 @@
         self.stage = FeedStage::Fetching {
             revision,
             missing: listed,
-            own_fetch_from: now + PEER_PATIENCE,
+            platform_fetch_from: now + PEER_DELIVERY_TIMEOUT,
         };
-        self.drop_missing(store);
+        self.remove_received(store);
     }
 
-    /// The key was read, or deleted after it was listed; then the next list or watch says at which
-    /// revision.
-    fn forget_missing(&mut self, request: &PlatformRequest) {
+    /// Removes a fetched key from the missing ones. If it was deleted after it was listed, the next
+    /// list or watch gives the revision of the deletion.
+    fn mark_fetched(&mut self, request: &PlatformRequest) {
         let PlatformRequest::Value { key } = request else {
             return;
         };
@@ -455,22 +460,23 @@
         };
         missing.remove(key);
         if missing.is_empty() {
-            self.known = self.known.max(*revision);
+            self.known_revision = self.known_revision.max(*revision);
             self.stage = FeedStage::Listed;
         }
     }
 }
 
-/// An answer of an earlier era, or one that lags behind. Nothing it says is joined. A platform that comes back from an
-/// older copy is in a later era, so that its versions are larger although its revisions are smaller.
-fn is_older(answer: &PlatformAnswer, held: Version) -> bool {
-    match answer {
-        PlatformAnswer::Keys { revision, .. } | PlatformAnswer::Changes { revision, .. } => {
+/// Whether a response is of an earlier era or a lagging replica; nothing in it is joined. A
+/// platform that is restored from a backup is in a later era, so that its versions are larger
+/// although its revisions are smaller.
+fn is_older(response: &PlatformResponse, held: Version) -> bool {
+    match response {
+        PlatformResponse::Keys { revision, .. } | PlatformResponse::Changes { revision, .. } => {
             *revision < held
         }
-        PlatformAnswer::Value(_) | PlatformAnswer::HistoryGone | PlatformAnswer::Unreachable => {
-            false
-        }
+        PlatformResponse::Value(_)
+        | PlatformResponse::HistoryDropped
+        | PlatformResponse::Unreachable => false,
     }
 }
 
--- a/lib/src/pool_upstream.rs
+++ b/lib/src/pool_upstream.rs
@@ -9,7 +9,7 @@
 
 use crate::config_snapshot::UpstreamEntry;
 use crate::config_snapshot::UpstreamState;
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 use crate::ids::UpstreamId;
 use crate::load_settings::LoadSettings;
 use crate::outlier_record::OutlierRecord;
@@ -52,7 +52,7 @@
     pub ramp: WarmRamp,
     /// Losses and ejections.
     pub outlier: OutlierRecord,
-    incarnation: Incarnation,
+    incarnation: Generation,
     active: bool,
     /// Whether the health endpoint reports a failure and no response has arrived since.
     unhealthy: bool,
--- a/lib/src/published_config.rs
+++ b/lib/src/published_config.rs
@@ -1,4 +1,4 @@
-//! What operators publish on the platform, and its compilation into a snapshot.
+//! The configuration that operators publish on the platform, and its compilation into a snapshot.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::config_snapshot::ServiceEntry;
 use crate::config_snapshot::UpstreamEntry;
 use crate::config_snapshot::UpstreamState;
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 use crate::ids::ServiceAddress;
 use crate::ids::ServiceId;
 use crate::ids::UpstreamId;
@@ -30,9 +30,9 @@
     pub id: ServiceId,
     /// Its name.
     pub name: SmolStr,
-    /// Where callers send to.
+    /// The address to which callers send.
     pub address: ServiceAddress,
-    /// Which upstreams may carry its traffic.
+    /// The selector of the upstreams that may carry its traffic.
     pub selector: String,
 }
 
@@ -44,27 +44,27 @@
     pub id: UpstreamId,
     /// Its name.
     pub name: SmolStr,
-    /// Where hosts send to.
+    /// The address to which hosts send.
     pub address: SocketAddr,
-    /// Where its health and load endpoints answer, if it has any.
+    /// The address of its health and load endpoints, if it has any.
     #[serde(default)]
     pub health_address: Option<SocketAddr>,
     /// The availability zone it is in.
     pub zone: ZoneName,
     /// Grows when the address is given to another process.
     #[serde(default)]
-    pub incarnation: Incarnation,
+    pub incarnation: Generation,
     /// Its labels.
     pub labels: LabelMap,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// How many requests it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// How many flows it holds at once.
+    /// Maximum number of flows that it holds at once.
     pub connections: u32,
 }
 
-/// Everything published of services and upstreams.
+/// All published services and upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishedConfig {
@@ -76,7 +76,7 @@
     pub upstreams: Vec<UpstreamDoc>,
 }
 
-/// The platform's list of entry hosts, which lags behind the truth.
+/// The platform's list of entry hosts, which lags behind their actual state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishedHosts {
@@ -87,7 +87,7 @@
 }
 
 impl PublishedConfig {
-    /// Compiles the documents; a fault anywhere refuses them all.
+    /// Compiles the documents; fails with all faults if there are any.
     pub fn compile(&self) -> Result<ConfigSnapshot, ConfigFaults> {
         let faults = config_faults(self);
         if !faults.is_empty() {
@@ -101,7 +101,7 @@
             snapshot.upstreams.insert(doc.id, compile_upstream(doc));
         }
         for doc in &self.services {
-            // One that cannot be parsed is a fault and was refused above.
+            // A selector that cannot be parsed is a fault and was rejected above.
             if let Ok(selector) = LabelSelector::parse(&doc.selector) {
                 let service = self.compile_service(doc, &selector);
                 snapshot.addresses.insert(service.address, service.id);
@@ -128,7 +128,7 @@
     }
 }
 
-/// The upstream as hosts use it.
+/// Converts a published upstream to the form that hosts use.
 pub(crate) fn compile_upstream(doc: &UpstreamDoc) -> UpstreamEntry {
     UpstreamEntry {
         id: doc.id,
--- a/lib/src/relay_link.rs
+++ b/lib/src/relay_link.rs
@@ -1,4 +1,4 @@
-//! A link to a peer: what it holds, what it asked for, and what it was told.
+//! The state of a link to a peer: what the peer announced, what it requested, and what it was sent.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -14,34 +14,36 @@
 use crate::relay_message::Announcement;
 use crate::relay_message::RelayMessage;
 
-/// Pause between announcements when nothing changes.
-const ANNOUNCE_PAUSE: Duration = Duration::from_secs(1);
-/// Shortest time between two announcements of changes; bounds their bytes in a burst.
-const ANNOUNCE_GAP: Duration = Duration::from_millis(250);
-/// Entries in one part of an answer; about four kilobytes.
-const PART_ENTRIES: usize = 32;
+/// Interval of announcements while nothing changes.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval of announcements of changes; it bounds their bytes in a burst.
+const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of entries in one part of a reply; about 4 KB.
+const MAX_PART_ENTRIES: usize = 32;
 
 /// A link to a peer.
 pub(crate) struct PeerLink {
     /// Whether the peer is in the same zone.
-    pub(crate) near: bool,
-    /// When the peer was last heard.
-    pub(crate) heard: Instant,
-    /// What the peer announced: every change up to this revision.
+    pub(crate) same_zone: bool,
+    /// When the last message of the peer was received.
+    pub(crate) last_received: Instant,
+    /// Announced by the peer: it holds every change up to this revision.
     pub(crate) through: Version,
-    /// What the peer announced: equal when the same versions are held, 0 while some are ahead.
+    /// Announced by the peer: equal on hosts that hold the same versions; 0 while some of its keys
+    /// are ahead of others.
     pub(crate) digest: u64,
-    /// Order in which peers asked.
-    pub(crate) asked: u64,
-    /// Whether the end of an answer has not been sent, be there anything before it or not.
-    pub(crate) owes_end: bool,
-    /// What the peer asked for and has not been sent, most urgent first.
+    /// Number of the peer's last request; smaller numbers are served first.
+    pub(crate) request_number: u64,
+    /// Whether the last part of a reply is still to be sent; that part may be empty.
+    pub(crate) end_unsent: bool,
+    /// Updates still to be sent to the peer, most urgent first.
     queue: VecDeque<QueuedUpdate>,
-    /// Revision that the peer is complete to after the queue; 0 if the answer does not say.
+    /// Revision up to which the peer is complete after the queued updates; 0 if the reply does not
+    /// say.
     queue_through: Version,
     announced: Option<Announcement>,
-    announce_due: Instant,
-    announce_from: Instant,
+    next_announcement: Instant,
+    next_change_announcement: Instant,
 }
 
 struct QueuedUpdate {
@@ -50,52 +52,58 @@
 }
 
 impl PeerLink {
-    /// Makes a link to a peer that has said nothing yet.
-    pub(crate) fn new(now: Instant, near: bool) -> Self {
+    /// Creates a link to a peer that has sent nothing yet.
+    pub(crate) fn new(now: Instant, same_zone: bool) -> Self {
         Self {
-            near,
-            heard: now,
+            same_zone,
+            last_received: now,
             through: 0,
             digest: 0,
-            asked: 0,
-            owes_end: false,
+            request_number: 0,
+            end_unsent: false,
             queue: VecDeque::new(),
             queue_through: 0,
             announced: None,
-            announce_due: now,
-            announce_from: now,
+            next_announcement: now,
+            next_change_announcement: now,
         }
     }
 
-    /// Whether an announcement is due, because it says something new or because it is time; it is
-    /// taken as sent.
-    pub(crate) fn announces(&mut self, now: Instant, announcement: &Announcement) -> bool {
+    /// Whether to send the announcement now, since it has changed or the interval is over. `true`
+    /// records it as sent.
+    pub(crate) fn should_announce(&mut self, now: Instant, announcement: &Announcement) -> bool {
         let changed = self.announced.as_ref().is_none_or(|announced| {
             announced.through != announcement.through || announced.digest != announcement.digest
         });
-        let due = now >= self.announce_due || (changed && now >= self.announce_from);
+        let due =
+            now >= self.next_announcement || (changed && now >= self.next_change_announcement);
         if due {
-            self.announce_due = now + ANNOUNCE_PAUSE;
-            self.announce_from = now + ANNOUNCE_GAP;
+            self.next_announcement = now + ANNOUNCE_INTERVAL;
+            self.next_change_announcement = now + MIN_ANNOUNCE_INTERVAL;
             self.announced = Some(announcement.clone());
         }
         due
     }
 
-    /// Queues an answer. A request for every change replaces what is left of an earlier answer; one
-    /// for single keys, with `through` 0, adds to it.
-    pub(crate) fn queue_updates(&mut self, asked: u64, updates: Vec<KeyUpdate>, through: Version) {
-        self.asked = asked;
-        self.owes_end = true;
-        let mut queue: Vec<QueuedUpdate> = updates.into_iter().map(queued).collect();
+    /// Queues a reply. A reply with every change replaces what is left of earlier ones; a reply
+    /// with single keys, whose `through` is 0, is added to them.
+    pub(crate) fn queue_updates(
+        &mut self,
+        request_number: u64,
+        updates: Vec<KeyUpdate>,
+        through: Version,
+    ) {
+        self.request_number = request_number;
+        self.end_unsent = true;
+        let mut queue: Vec<QueuedUpdate> = updates.into_iter().map(queue_entry).collect();
         if through == 0 {
-            // A peer that lost patience asks again; what it asked for must not be sent twice.
-            let again: BTreeSet<ConfigKey> = queue
+            // A peer repeats its request after a timeout; the keys must not be sent twice.
+            let requested_again: BTreeSet<ConfigKey> = queue
                 .iter()
                 .map(|queued| queued.update.key.clone())
                 .collect();
             let earlier = self.queue.drain(..);
-            queue.extend(earlier.filter(|queued| !again.contains(&queued.update.key)));
+            queue.extend(earlier.filter(|queued| !requested_again.contains(&queued.update.key)));
         } else {
             self.queue_through = through;
         }
@@ -103,19 +111,20 @@
         self.queue = queue.into();
     }
 
-    /// Whether the next part of the answer belongs to a class.
+    /// Whether the next part of the reply belongs to a class.
     pub(crate) fn has_due(&self, class: TrafficClass) -> bool {
         match self.queue.front() {
             Some(head) => head.class == class,
-            None => self.owes_end && class == TrafficClass::Removal,
+            None => self.end_unsent && class == TrafficClass::Removal,
         }
     }
 
-    /// Takes the next part off the queue; the last one says what the peer is complete to.
+    /// Takes the next part off the queue. The last part says up to which revision the peer is
+    /// complete.
     pub(crate) fn next_part(&mut self, class: TrafficClass) -> RelayMessage {
         let mut updates = Vec::new();
         let mut entries = 0;
-        while entries < PART_ENTRIES
+        while entries < MAX_PART_ENTRIES
             && let Some(queued) = self.queue.pop_front_if(|queued| queued.class == class)
         {
             entries += entry_count(&queued.update);
@@ -124,22 +133,22 @@
         let mut through = 0;
         if self.queue.is_empty() {
             through = std::mem::take(&mut self.queue_through);
-            self.owes_end = false;
+            self.end_unsent = false;
         }
         RelayMessage::Updates { updates, through }
     }
 }
 
-fn queued(update: KeyUpdate) -> QueuedUpdate {
+fn queue_entry(update: KeyUpdate) -> QueuedUpdate {
     let class = match &update.body {
-        _ if update.takes_away() => TrafficClass::Removal,
+        _ if update.is_removal() => TrafficClass::Removal,
         UpdateBody::Whole(_) => TrafficClass::Repair,
         UpdateBody::Delta { .. } | UpdateBody::Deleted => TrafficClass::Change,
     };
     QueuedUpdate { class, update }
 }
 
-/// Entries that an update carries, at least one.
+/// The number of entries that an update carries, at least 1.
 fn entry_count(update: &KeyUpdate) -> usize {
     let entries = match &update.body {
         UpdateBody::Deleted => 0,
--- a/lib/src/relay_message.rs
+++ b/lib/src/relay_message.rs
@@ -1,4 +1,4 @@
-//! What the control daemons of entry hosts tell each other, in CBOR.
+//! Messages between the control daemons of entry hosts, encoded in CBOR.
 
 use std::collections::BTreeMap;
 
@@ -13,57 +13,60 @@
 use crate::ids::HostId;
 use crate::ids::Version;
 
-/// Grows while a reader is in touch with the platform; begins above that of its earlier starts.
-pub type ReaderBeat = u64;
+/// Heartbeat number of a reader. It grows while the reader is in touch with the platform, and
+/// starts above the numbers of the reader's earlier runs.
+pub type ReaderHeartbeat = u64;
 
 /// A message over a link between two hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayMessage {
-    /// What the sender holds; small, sent at each change and at a steady pace.
+    /// What the sender holds; sent after each change and at a fixed interval.
     #[serde(rename = "a")]
     Announce(Announcement),
-    /// Asks for every change after a revision up to which the sender is complete.
+    /// Requests every change after the revision up to which the sender is complete.
     #[serde(rename = "w")]
-    Want {
-        /// The revision.
+    PullChanges {
+        /// The revision up to which the sender is complete.
         #[serde(rename = "a")]
         after: Version,
-        /// Keys that the sender holds in newer versions than that; deltas have to begin there.
+        /// Keys that the sender holds in versions newer than `after`; deltas have to start from
+        /// these.
         #[serde(rename = "k", default, skip_serializing_if = "BTreeMap::is_empty")]
         ahead: BTreeMap<ConfigKey, Version>,
     },
-    /// Asks for what is newer than these versions.
+    /// Requests every key that is newer than the versions held.
     #[serde(rename = "k")]
-    WantKeys {
-        /// The versions held.
+    PullKeys {
+        /// The version held of each key; 0 requests the whole value.
         held: BTreeMap<ConfigKey, Version>,
-        /// Whether keys that are not named are of no interest.
+        /// Whether to leave out keys that are not in `held`.
         only_named: bool,
     },
-    /// Answers a `Want` or `WantKeys`, in parts.
+    /// One part of the reply to `PullChanges` or `PullKeys`.
     #[serde(rename = "u")]
     Updates {
         /// Keys that changed.
         #[serde(rename = "k")]
         updates: Vec<KeyUpdate>,
-        /// In the last part, the revision up to which the receiver is complete with it; else 0.
+        /// In the last part, the revision up to which the receiver is complete after the reply; 0
+        /// otherwise, and in replies with single keys.
         #[serde(rename = "t")]
         through: Version,
     },
 }
 
-/// What a host holds.
+/// The state of a host's store, with the heartbeats that it passes on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Every change up to this revision.
+    /// The host holds every change up to this revision.
     #[serde(rename = "t")]
     pub through: Version,
-    /// Equal when the same versions are held; 0 while some keys are ahead of others.
+    /// Equal on hosts that hold the same versions; 0 while some keys are ahead of others.
     #[serde(rename = "d")]
     pub digest: u64,
-    /// The latest beats heard of the zone's readers; empty towards other zones.
+    /// The latest heartbeats of the zone's readers; empty on links to other zones.
     #[serde(rename = "b")]
-    pub beats: Vec<(HostId, ReaderBeat)>,
+    pub reader_heartbeats: Vec<(HostId, ReaderHeartbeat)>,
 }
 
 /// Why a message cannot be encoded or decoded.
@@ -84,14 +87,14 @@
 }
 
 impl RelayMessage {
-    /// Encodes the message.
+    /// Encodes the message as CBOR.
     pub fn encode(&self) -> Result<Bytes, RelayError> {
         let mut buffer = Vec::new();
         ciborium::into_writer(self, &mut buffer).context(EncodeSnafu)?;
         Ok(buffer.into())
     }
 
-    /// Decodes a message.
+    /// Decodes a message; fails on anything but a message of this format.
     pub fn decode(bytes: &[u8]) -> Result<Self, RelayError> {
         ciborium::from_reader(bytes).context(DecodeSnafu)
     }
--- a/lib/src/request_system.rs
+++ b/lib/src/request_system.rs
@@ -213,7 +213,7 @@
         };
         let mut decisions = Vec::new();
         self.policy.submit(now, job, &mut decisions);
-        self.carry_out(now, decisions, actions);
+        self.execute_decisions(now, decisions, actions);
     }
 
     /// Withdraws a queued request from the load policy, which may then decide on others.
@@ -225,7 +225,7 @@
     ) {
         let mut decisions = Vec::new();
         self.policy.withdraw(now, key, &mut decisions);
-        self.carry_out(now, decisions, actions);
+        self.execute_decisions(now, decisions, actions);
     }
 
     fn acknowledge(&mut self, key: RequestKey) {
--- a/lib/src/selector_parser.rs
+++ b/lib/src/selector_parser.rs
@@ -1,17 +1,17 @@
-//! Reads the text of a selector; every error points at the column where it was met.
+//! Parses the text of a selector; every error names its column.
 
 use std::collections::BTreeSet;
 
 use smol_str::SmolStr;
 use snafu::Snafu;
 
+use crate::label_selector::LabelCondition;
 use crate::label_selector::LabelRequirement;
-use crate::label_selector::LabelTest;
 use crate::label_syntax;
 use crate::label_syntax::LabelError;
 
-/// Longest text of a selector in bytes.
-pub const MAX_SELECTOR: usize = 4_096;
+/// Maximum length of a selector's text.
+pub const MAX_SELECTOR_BYTES: usize = 4_096;
 
 /// Why a selector cannot be parsed. Columns count characters, from 1.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -20,41 +20,41 @@
     #[snafu(display("column 1: the selector is empty; write at least one requirement"))]
     Empty,
     /// The text is too long.
-    #[snafu(display("column 1: the selector has {len} bytes, more than {MAX_SELECTOR}"))]
+    #[snafu(display("column 1: the selector has {len} bytes, more than {MAX_SELECTOR_BYTES}"))]
     TooLong {
-        /// Its length.
+        /// The length of the text in bytes.
         len: usize,
     },
-    /// Something else should stand here.
+    /// Another token or character is expected here.
     #[snafu(display("column {column}: expected {expected}, found {found}"))]
     Unexpected {
-        /// Where.
+        /// The column.
         column: usize,
-        /// What may stand here.
+        /// What is expected.
         expected: &'static str,
-        /// What stands here.
+        /// What was found instead.
         found: String,
     },
-    /// A key or a value is not a valid one.
+    /// A key or a value is invalid.
     #[snafu(display("column {column}: {source}"))]
     Label {
-        /// Where it begins.
+        /// The column of its first character.
         column: usize,
-        /// What is wrong with it.
+        /// The error in its syntax.
         source: LabelError,
     },
-    /// A set names a value twice, or a selector a requirement.
+    /// A set repeats a value, or a selector repeats a requirement.
     #[snafu(display("column {column}: `{text}` stands here for the second time"))]
     Repeated {
-        /// Where.
+        /// The column.
         column: usize,
-        /// What.
+        /// The repeated value or requirement.
         text: String,
     },
 }
 
 impl SelectorError {
-    /// The column it points at, from 1.
+    /// The column of the error, from 1.
     pub fn column(&self) -> usize {
         match self {
             Self::Empty | Self::TooLong { .. } => 1,
@@ -65,7 +65,7 @@
     }
 }
 
-/// One word or sign of a selector.
+/// A token of a selector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum TokenKind {
     Word(SmolStr),
@@ -86,7 +86,7 @@
 
 /// Parses requirements separated by commas.
 pub fn parse(text: &str) -> Result<Vec<LabelRequirement>, SelectorError> {
-    if text.len() > MAX_SELECTOR {
+    if text.len() > MAX_SELECTOR_BYTES {
         return TooLongSnafu { len: text.len() }.fail();
     }
     if text.trim().is_empty() {
@@ -141,7 +141,7 @@
     Ok(tokens)
 }
 
-/// Reads tokens in order. Invariant: the last token is `End` and is never passed.
+/// Reads tokens in order. Invariant: the last token is `End`, and `next` never goes beyond it.
 struct SelectorParser {
     tokens: Vec<SelectorToken>,
     next: usize,
@@ -158,7 +158,7 @@
                 return RepeatedSnafu { column, text }.fail();
             }
             requirements.push(requirement);
-            let token = self.take();
+            let token = self.advance();
             match token.kind {
                 TokenKind::End => return Ok(requirements),
                 TokenKind::Comma => {}
@@ -169,42 +169,42 @@
 
     fn requirement(&mut self) -> Result<LabelRequirement, SelectorError> {
         if self.peek().kind == TokenKind::Not {
-            self.take();
+            self.advance();
             let key = self.key()?;
-            let test = LabelTest::Absent;
-            return Ok(LabelRequirement { key, test });
+            let condition = LabelCondition::Absent;
+            return Ok(LabelRequirement { key, condition });
         }
         let key = self.key()?;
-        let test = self.test()?;
-        Ok(LabelRequirement { key, test })
+        let condition = self.condition()?;
+        Ok(LabelRequirement { key, condition })
     }
 
-    fn test(&mut self) -> Result<LabelTest, SelectorError> {
+    fn condition(&mut self) -> Result<LabelCondition, SelectorError> {
         let token = self.peek().clone();
         match &token.kind {
-            TokenKind::Comma | TokenKind::End => Ok(LabelTest::Exists),
+            TokenKind::Comma | TokenKind::End => Ok(LabelCondition::Exists),
             TokenKind::Equals => {
-                self.take();
-                self.value().map(LabelTest::Equals)
+                self.advance();
+                self.value().map(LabelCondition::Equals)
             }
             TokenKind::Differs => {
-                self.take();
-                self.value().map(LabelTest::Differs)
+                self.advance();
+                self.value().map(LabelCondition::Differs)
             }
             TokenKind::Word(word) if word == "in" => {
-                self.take();
-                self.values().map(LabelTest::In)
+                self.advance();
+                self.values().map(LabelCondition::In)
             }
             TokenKind::Word(word) if word == "notin" => {
-                self.take();
-                self.values().map(LabelTest::NotIn)
+                self.advance();
+                self.values().map(LabelCondition::NotIn)
             }
             _ => unexpected(&token, "`=`, `!=`, `in`, `notin`, `,` or the end"),
         }
     }
 
     fn values(&mut self) -> Result<BTreeSet<SmolStr>, SelectorError> {
-        let token = self.take();
+        let token = self.advance();
         if token.kind != TokenKind::Open {
             return unexpected(&token, "`(`");
         }
@@ -216,7 +216,7 @@
                 let text = value.to_string();
                 return RepeatedSnafu { column, text }.fail();
             }
-            let token = self.take();
+            let token = self.advance();
             match token.kind {
                 TokenKind::Close => return Ok(values),
                 TokenKind::Comma => {}
@@ -226,7 +226,7 @@
     }
 
     fn key(&mut self) -> Result<SmolStr, SelectorError> {
-        let token = self.take();
+        let token = self.advance();
         let TokenKind::Word(word) = &token.kind else {
             return unexpected(&token, "a label's key");
         };
@@ -235,7 +235,7 @@
     }
 
     fn value(&mut self) -> Result<SmolStr, SelectorError> {
-        let token = self.take();
+        let token = self.advance();
         let TokenKind::Word(word) = &token.kind else {
             return unexpected(&token, "a label's value");
         };
@@ -247,7 +247,7 @@
         &self.tokens[self.next]
     }
 
-    fn take(&mut self) -> SelectorToken {
+    fn advance(&mut self) -> SelectorToken {
         let token = self.tokens[self.next].clone();
         if token.kind != TokenKind::End {
             self.next += 1;
--- a/lib/src/settings_reader.rs
+++ b/lib/src/settings_reader.rs
@@ -1,7 +1,7 @@
-//! Reads settings in YAML whole: every fault at once, each with its line and field.
+//! Reads settings in YAML and reports all faults at once, each with its line and field.
 //!
-//! A derived deserializer stops at the first fault, so that an operator would mend a file fault by
-//! fault, with a start of the daemon between each two.
+//! A derived deserializer stops at the first fault; an operator would then correct a file fault by
+//! fault and restart the daemon after each.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -14,18 +14,18 @@
 use serde_with::Same;
 use serde_with::de::DeserializeAsWrap;
 
-/// One fault of a settings text.
+/// A fault of a settings text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// The line it is on, from 1; `None` for a field that is missing.
+    /// The line, from 1; `None` if it is not known, as for a missing field.
     pub line: Option<usize>,
-    /// The field, with its section before a dot; empty when the text is no YAML.
+    /// The field, preceded by its section and a dot; empty if the text as a whole is invalid.
     pub field: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
 }
 
-/// Every fault of a settings text, in the order of its lines. Never empty.
+/// All faults of a settings text, in the order of lines. Never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFaults {
     /// The faults.
@@ -50,7 +50,7 @@
     }
 }
 
-/// Writes faults one after the other.
+/// Writes faults separated by semicolons.
 pub(crate) fn write_faults<T: fmt::Display>(
     formatter: &mut fmt::Formatter<'_>,
     faults: &[T],
@@ -66,7 +66,7 @@
 
 impl std::error::Error for SettingsFaults {}
 
-/// Takes fields out of a settings text and collects what is wrong with them.
+/// Reads the fields of a settings text and collects their faults.
 pub struct SettingsReader<'text> {
     text: &'text str,
     section: String,
@@ -76,15 +76,15 @@
 }
 
 impl<'text> SettingsReader<'text> {
-    /// Parses a text; a fault of its syntax ends the reading at once.
+    /// Parses a text; fails at once if it is not a YAML mapping.
     pub fn new(text: &'text str) -> Result<Self, SettingsFaults> {
         let parsed = serde_norway::from_str::<Value>(text);
         let fields = match parsed {
             Ok(Value::Mapping(fields)) => fields,
-            Ok(_other) => return Err(no_yaml(None, "expected `field: value` lines")),
+            Ok(_other) => return Err(invalid_yaml(None, "expected `field: value` lines")),
             Err(error) => {
                 let line = error.location().map(|location| location.line());
-                return Err(no_yaml(line, &error.to_string()));
+                return Err(invalid_yaml(line, &error.to_string()));
             }
         };
         Ok(Self {
@@ -96,12 +96,12 @@
         })
     }
 
-    /// Takes a field that must be there; `None` if there is a fault, which is kept.
+    /// Reads a required field; records a fault and returns `None` if it is missing or invalid.
     pub fn required<T: DeserializeOwned>(&mut self, field: &'static str) -> Option<T> {
         self.required_as::<T, Same>(field)
     }
 
-    /// Takes a field that must be there, read through the adapter `A`.
+    /// Reads a required field through the adapter `A`, with faults as in [`Self::required`].
     pub fn required_as<T, A>(&mut self, field: &'static str) -> Option<T>
     where
         A: for<'de> DeserializeAs<'de, T>,
@@ -113,12 +113,12 @@
         self.convert::<T, A>(field, value?)
     }
 
-    /// Takes a field that has a default.
+    /// Reads a field with a default; records a fault and returns the default if it is invalid.
     pub fn optional<T: DeserializeOwned>(&mut self, field: &'static str, default: T) -> T {
         self.optional_as::<T, Same>(field, default)
     }
 
-    /// Takes a field that has a default, read through the adapter `A`.
+    /// Reads a field with a default through the adapter `A`.
     pub fn optional_as<T, A>(&mut self, field: &'static str, default: T) -> T
     where
         A: for<'de> DeserializeAs<'de, T>,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes a field that has a default and must lie within a range, read through the adapter `A`.
+    /// Reads a field with a default through the adapter `A`; records a fault if it is out of range.
     pub fn optional_within<T, A>(
         &mut self,
         field: &'static str,
@@ -149,7 +149,7 @@
         default
     }
 
-    /// Reads the fields of a section, all of which may be absent.
+    /// Reads the fields of a section, all of which may be missing.
     pub fn section<T>(
         &mut self,
         field: &'static str,
@@ -171,20 +171,20 @@
             faults: Vec::new(),
         };
         let result = read(&mut inner);
-        inner.refuse_unknown();
+        inner.reject_unknown();
         self.faults.append(&mut inner.faults);
         result
     }
 
-    /// Keeps a fault of a field that was read but does not fit.
+    /// Records a fault of a field that was read but has an invalid value.
     pub fn fault(&mut self, field: &str, message: &str) {
         let line = self.line_of(field);
         self.fault_at(line, field, message);
     }
 
-    /// Ends the reading: the value if no fault was met, all faults otherwise.
+    /// Returns the value if there was no fault, all faults otherwise. Unknown fields are faults.
     pub fn finish<T>(mut self, value: Option<T>) -> Result<T, SettingsFaults> {
-        self.refuse_unknown();
+        self.reject_unknown();
         self.faults
             .sort_by_key(|fault| fault.line.unwrap_or(usize::MAX));
         match value {
@@ -213,7 +213,7 @@
         }
     }
 
-    fn refuse_unknown(&mut self) {
+    fn reject_unknown(&mut self) {
         let known: Vec<&str> = self.known.iter().copied().collect();
         let known = known.join(", ");
         let unknown: Vec<String> = self
@@ -242,8 +242,8 @@
         });
     }
 
-    /// The line of a field. The parser keeps no positions, so that the text is searched for the key
-    /// at the start of a line, below its section's line if it has one.
+    /// The line of a field. The parser keeps no positions, so the text is searched for the key at
+    /// the start of a line, within the field's section if it has one.
     fn line_of(&self, field: &str) -> Option<usize> {
         let mut lines = self.text.lines().zip(1..);
         if !self.section.is_empty() {
@@ -266,7 +266,7 @@
         .is_some_and(|rest| rest.trim_start_matches(['"', '\'', ' ']).starts_with(':'))
 }
 
-fn no_yaml(line: Option<usize>, message: &str) -> SettingsFaults {
+fn invalid_yaml(line: Option<usize>, message: &str) -> SettingsFaults {
     SettingsFaults {
         faults: vec![SettingsFault {
             line,
--- a/lib/src/shared_key.rs
+++ b/lib/src/shared_key.rs
@@ -9,19 +9,19 @@
 /// Hexadecimal digits of a key in settings.
 const KEY_DIGITS: usize = 32;
 
-/// A key of 16 bytes. It is never printed, so that it does not reach logs.
+/// A key of 16 bytes. Its debug form omits the bytes, so that they do not reach logs.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct SharedKey {
     bytes: [u8; 16],
 }
 
 impl SharedKey {
-    /// Makes a key of its bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: [u8; 16]) -> Self {
         Self { bytes }
     }
 
-    /// Its bytes.
+    /// The bytes of the key.
     pub fn bytes(&self) -> [u8; 16] {
         self.bytes
     }
--- a/lib/src/snapshot_compiler.rs
+++ b/lib/src/snapshot_compiler.rs
@@ -1,7 +1,7 @@
-//! Compiles the published keys into a snapshot, touching only what changed since the last one.
+//! Compiles the published keys into a snapshot, recompiling only what changed since the last one.
 //!
 //! A full compilation matches each service's selector against each upstream: five million matches
-//! in a zone of the size aimed at. A change of one upstream needs one match a service.
+//! in a zone of the intended size. A change of one upstream takes one match per service.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -33,15 +33,15 @@
 use crate::published_config::UpstreamDoc;
 use crate::published_config::compile_upstream;
 
-/// Why a published state is refused whole.
+/// Why a published state is rejected whole.
 #[derive(Debug, Snafu)]
 pub enum CompileError {
-    /// A value cannot be read.
+    /// A value cannot be parsed.
     #[snafu(display("{key}: {fault}"))]
     Unreadable {
-        /// Its key.
+        /// The key of the value.
         key: ConfigKey,
-        /// What is wrong with it.
+        /// The parser's error.
         fault: String,
     },
     /// Two keys hold an entry of the same number.
@@ -55,36 +55,37 @@
     /// The documents contradict each other or cannot be compiled.
     #[snafu(display("{source}"))]
     Config {
-        /// What is wrong.
+        /// All faults of the documents.
         source: ConfigFaults,
     },
-    /// A change has a fault; the compilation of everything names it and others.
+    /// A change has a fault. A check of the whole state replaces this error by one that lists all
+    /// faults.
     #[snafu(display("a change has a fault"))]
-    Suspected,
+    FaultFound,
 }
 
-/// The last compilation and what it was made from.
+/// The last compilation and its input.
 #[derive(Default)]
 pub struct SnapshotCompiler {
-    /// The values compiled; services and upstreams only.
+    /// The values that were compiled; services and upstreams only.
     compiled: BTreeMap<ConfigKey, Arc<KeyValue>>,
     services: BTreeMap<ServiceId, CompiledService>,
     upstreams: BTreeMap<UpstreamId, Arc<EntryDoc>>,
-    service_identities: TakenIdentities,
-    upstream_identities: TakenIdentities,
+    service_identities: UsedIdentities,
+    upstream_identities: UsedIdentities,
     snapshot: ConfigSnapshot,
 }
 
-/// The names and addresses of one kind of documents, each of which only one may have.
+/// The names and addresses of the documents of one kind, which have to be unique.
 #[derive(Default)]
-struct TakenIdentities {
+struct UsedIdentities {
     names: HashMap<SmolStr, EntryId>,
     addresses: HashMap<SocketAddr, EntryId>,
 }
 
-impl TakenIdentities {
-    /// Whether both were free.
-    fn take(&mut self, id: EntryId, name: &SmolStr, address: SocketAddr) -> bool {
+impl UsedIdentities {
+    /// Reserves a name and an address; returns whether both were free.
+    fn reserve(&mut self, id: EntryId, name: &SmolStr, address: SocketAddr) -> bool {
         let name = self.names.insert(name.clone(), id);
         let address = self.addresses.insert(address, id);
         name.is_none() && address.is_none()
@@ -105,15 +106,16 @@
 /// The entries that differ from the last compilation.
 #[derive(Default)]
 struct ChangedEntries {
-    /// The new entry of each number, or `None` if it is gone.
+    /// The new entry of each number, or `None` if it was removed.
     services: BTreeMap<ServiceId, Option<Arc<EntryDoc>>>,
     upstreams: BTreeMap<UpstreamId, Option<Arc<EntryDoc>>>,
 }
 
 impl SnapshotCompiler {
-    /// Compiles what the store holds; a fault anywhere refuses it all.
+    /// Compiles the state of the store; any fault rejects the whole state.
     ///
-    /// Where a change has a fault, everything is checked again, so that all faults are named.
+    /// If a change has a fault, the whole state is checked again, so that the error lists all
+    /// faults.
     pub fn compile(
         &mut self,
         store: &ConfigStore,
@@ -121,11 +123,11 @@
     ) -> Result<Arc<ConfigSnapshot>, CompileError> {
         let result = self.compile_changes(store, version);
         if result.is_err() {
-            // What was compiled so far is half old and half new.
+            // The compilation so far mixes old and new entries.
             *self = Self::default();
         }
         match result {
-            Err(CompileError::Suspected) => Err(name_faults(store, version)),
+            Err(CompileError::FaultFound) => Err(describe_faults(store, version)),
             result => result,
         }
     }
@@ -143,8 +145,8 @@
     }
 
     fn find_changes(&mut self, store: &ConfigStore) -> Result<ChangedEntries, CompileError> {
-        let mut gone = Vec::new();
-        let mut come = Vec::new();
+        let mut removed = Vec::new();
+        let mut added = Vec::new();
         for (key, stored) in store
             .keys()
             .filter(|(key, _)| !key.starts_with(HOSTS_PREFIX))
@@ -161,31 +163,32 @@
             let empty = EntryRows::new();
             let new_rows = rows_of(key, stored.value.as_deref(), &empty)?;
             let old_rows = rows_of(key, old.as_deref(), &empty)?;
-            collect_gone(old_rows, new_rows, &mut gone);
-            collect_come(key, old_rows, new_rows, &mut come);
+            collect_removed(old_rows, new_rows, &mut removed);
+            collect_added(key, old_rows, new_rows, &mut added);
             match &stored.value {
                 Some(value) => self.compiled.insert(key.clone(), Arc::clone(value)),
                 None => self.compiled.remove(key),
             };
         }
-        self.merge_changes(gone, come)
+        self.merge_changes(removed, added)
     }
 
-    /// An entry that moves between keys is gone from one and new in the other.
+    /// Merges the removed and the added entries: an entry that moves between keys is removed from
+    /// one and added to the other. Fails if two keys hold the same number.
     fn merge_changes(
         &self,
-        gone: Vec<Arc<EntryDoc>>,
-        come: Vec<(ConfigKey, Arc<EntryDoc>)>,
+        removed: Vec<Arc<EntryDoc>>,
+        added: Vec<(ConfigKey, Arc<EntryDoc>)>,
     ) -> Result<ChangedEntries, CompileError> {
         let mut changed = ChangedEntries::default();
-        for doc in gone {
+        for doc in removed {
             match *doc {
                 EntryDoc::Service(_) => changed.services.insert(doc.id(), None),
                 EntryDoc::Upstream(_) => changed.upstreams.insert(doc.id(), None),
                 EntryDoc::Host(_) => None,
             };
         }
-        for (key, doc) in come {
+        for (key, doc) in added {
             let id = doc.id();
             let (slot, held) = match *doc {
                 EntryDoc::Service(_) => {
@@ -199,7 +202,7 @@
                 EntryDoc::Host(_) => continue,
             };
             let duplicate = match slot {
-                Some(former) => former.is_some(),
+                Some(previous) => previous.is_some(),
                 None => held,
             };
             if duplicate {
@@ -209,8 +212,8 @@
         Ok(changed)
     }
 
-    /// Gives every changed document's name and address back before any is taken, so that they may
-    /// pass from one document to another within one revision.
+    /// Releases the names and addresses of all changed upstreams before it reserves any, so that
+    /// they may pass from one upstream to another within one revision.
     fn change_upstreams(
         &mut self,
         changed: BTreeMap<UpstreamId, Option<Arc<EntryDoc>>>,
@@ -222,8 +225,8 @@
         }
         for (id, doc) in changed {
             if let Some(new) = doc.as_deref().and_then(as_upstream) {
-                let free = self.upstream_identities.take(id, &new.name, new.address);
-                snafu::ensure!(free && is_faultless(&[], &[new]), SuspectedSnafu);
+                let free = self.upstream_identities.reserve(id, &new.name, new.address);
+                snafu::ensure!(free && is_valid(&[], &[new]), FaultFoundSnafu);
             }
             self.change_upstream(id, doc);
         }
@@ -234,12 +237,14 @@
         let upstream = doc.as_deref().and_then(as_upstream);
         for service in self.services.values_mut() {
             let matches = upstream.is_some_and(|doc| service.selector.matches(&doc.labels));
-            let moved = if matches {
+            let membership_changed = if matches {
                 service.upstreams.insert(id)
             } else {
                 service.upstreams.remove(&id)
             };
-            if moved && let Some(entry) = self.snapshot.services.get_mut(&service.doc.id()) {
+            if membership_changed
+                && let Some(entry) = self.snapshot.services.get_mut(&service.doc.id())
+            {
                 entry.upstreams = service.upstreams.iter().copied().collect();
             }
         }
@@ -256,7 +261,7 @@
         };
     }
 
-    /// Removes every changed service before it adds any, so that an address may pass from one
+    /// Removes all changed services before it adds any, so that an address may pass from one
     /// service to another within one revision.
     fn change_services(
         &mut self,
@@ -281,10 +286,10 @@
         };
         let id = service.id;
         let identities = &mut self.service_identities;
-        let free = identities.take(id, &service.name, service.address);
-        snafu::ensure!(free && is_faultless(&[service], &[]), SuspectedSnafu);
+        let free = identities.reserve(id, &service.name, service.address);
+        snafu::ensure!(free && is_valid(&[service], &[]), FaultFoundSnafu);
         let selector = LabelSelector::parse(&service.selector);
-        let selector = selector.ok().context(SuspectedSnafu)?;
+        let selector = selector.ok().context(FaultFoundSnafu)?;
         let upstreams = self.matching_upstreams(&selector);
         let entry = service_entry(service, &upstreams);
         self.snapshot.addresses.insert(entry.address, id);
@@ -308,8 +313,8 @@
     }
 }
 
-/// Whether documents have no fault by themselves.
-fn is_faultless(services: &[&ServiceDoc], upstreams: &[&UpstreamDoc]) -> bool {
+/// Whether the documents have no fault on their own.
+fn is_valid(services: &[&ServiceDoc], upstreams: &[&UpstreamDoc]) -> bool {
     let alone = PublishedConfig {
         version: 0,
         services: services.iter().map(|doc| (*doc).clone()).collect(),
@@ -318,17 +323,17 @@
     config_faults(&alone).is_empty()
 }
 
-/// Every fault of what the store holds.
-fn name_faults(store: &ConfigStore, version: Version) -> CompileError {
+/// The error that lists all faults of the store's state.
+fn describe_faults(store: &ConfigStore, version: Version) -> CompileError {
     let faults = config_faults(&published_config(store, version));
     if faults.is_empty() {
-        return CompileError::Suspected;
+        return CompileError::FaultFound;
     }
     let source = ConfigFaults { faults };
     CompileError::Config { source }
 }
 
-/// The documents that the store holds, as one configuration.
+/// The documents of the store as one configuration; values that cannot be parsed are left out.
 pub fn published_config(store: &ConfigStore, version: Version) -> PublishedConfig {
     let mut config = PublishedConfig {
         version,
@@ -382,26 +387,27 @@
     }
 }
 
-/// Entries that are gone or changed; values that were patched share the others.
-fn collect_gone(old: &EntryRows, new: &EntryRows, gone: &mut Vec<Arc<EntryDoc>>) {
+/// Collects entries that were removed or changed. Patched values share the unchanged entries with
+/// the old value, so that most comparisons are of pointers.
+fn collect_removed(old: &EntryRows, new: &EntryRows, removed: &mut Vec<Arc<EntryDoc>>) {
     for (id, doc) in old {
         let same = new.get(id).is_some_and(|new| is_same(doc, new));
         if !same {
-            gone.push(Arc::clone(doc));
+            removed.push(Arc::clone(doc));
         }
     }
 }
 
-fn collect_come(
+fn collect_added(
     key: &ConfigKey,
     old: &EntryRows,
     new: &EntryRows,
-    come: &mut Vec<(ConfigKey, Arc<EntryDoc>)>,
+    added: &mut Vec<(ConfigKey, Arc<EntryDoc>)>,
 ) {
     for (id, doc) in new {
         let same = old.get(id).is_some_and(|old| is_same(old, doc));
         if !same {
-            come.push((key.clone(), Arc::clone(doc)));
+            added.push((key.clone(), Arc::clone(doc)));
         }
     }
 }
--- a/lib/src/takeover_system.rs
+++ b/lib/src/takeover_system.rs
@@ -112,7 +112,7 @@
             return TakeoverDecision::Accept { exclusive };
         }
         let may_forward = takeover.hops < MAX_HOPS;
-        let accepting_host = self.actor_of(key.flow);
+        let accepting_host = self.accepting_host(key.flow);
         if accepting_host != self.settings.host {
             return match may_forward {
                 true => TakeoverDecision::Forward(accepting_host),
@@ -139,8 +139,8 @@
         now: Instant,
         takeover: &TakeoverState,
     ) -> TakeoverDecision {
-        let book = self.membership.book();
-        let may_accept_soon = book.holds_claim(now) || book.is_settling(now);
+        let leases = self.membership.leases();
+        let may_accept_soon = leases.holds_claim(now) || leases.is_settling(now);
         if may_accept_soon && now < takeover.arrived + ACCEPT_TIMEOUT {
             return TakeoverDecision::Wait;
         }
@@ -191,10 +191,10 @@
         key: RequestKey,
         sent_after: Option<Instant>,
     ) -> Vec<HostId> {
-        let book = self.membership.book();
+        let leases = self.membership.leases();
         let promisee = self.requests.promisee(key);
         let is_excluded = |id: &HostId| {
-            let since = book.lease_expired_since(now, *id);
+            let since = leases.lease_expired_since(now, *id);
             since.is_some() && since <= sent_after && promisee != Some(*id)
         };
         let members = self.membership.members().iter().copied();
@@ -208,7 +208,7 @@
     pub(crate) fn accepting_since(&self, now: Instant, flow: FlowDigest) -> Option<Instant> {
         let members = self.membership.members();
         let ahead = ranked_ahead(flow, self.settings.host, members);
-        self.membership.book().accepting_since(now, &ahead)
+        self.membership.leases().accepting_since(now, &ahead)
     }
 
     fn accept(
@@ -291,7 +291,7 @@
     }
 
     fn query_peers(&mut self, now: Instant, key: RequestKey, actions: &mut Vec<HostAction>) {
-        let member_set = self.membership.book().member_set();
+        let member_set = self.membership.leases().member_set();
         let Some(record) = self.requests.get(key) else {
             return;
         };
@@ -325,7 +325,7 @@
             .filter(|id| !takeover.replies.contains_key(id))
             .collect();
         for id in unanswered {
-            let echo = self.membership.book().echo_for(id);
+            let echo = self.membership.leases().echo_for(id);
             let query = RecordQuery {
                 number,
                 echo,
@@ -377,11 +377,11 @@
     /// [`RecordState::Unsure`] if the request may be older than this host's records, its process or
     /// the last removal of a member, or if the sender has another list of members.
     fn state_if_not_accepted(&self, now: Instant, query: &RecordQuery) -> RecordState {
-        let book = self.membership.book();
-        let written = query.echo.and_then(|echo| book.sent_at(echo));
+        let leases = self.membership.leases();
+        let written = query.echo.and_then(|echo| leases.sent_at(echo));
         let sent_after =
             written.and_then(|written| written.checked_sub(query.age + CLOCK_DRIFT_MARGIN));
-        let same_set = query.member_set == book.member_set();
+        let same_set = query.member_set == leases.member_set();
         let is_after_horizon = sent_after >= Some(self.membership.record_horizon());
         match same_set && is_after_horizon && may_still_be_recorded(now, sent_after) {
             true => RecordState::Absent,
--- a/lib/src/unit_text.rs
+++ b/lib/src/unit_text.rs
@@ -1,6 +1,6 @@
-//! Quantities with their unit in the text, as settings are written: `5s`, `25KiB`.
+//! Parsing and formatting of quantities with a unit, as in settings: `5s`, `25KiB`.
 //!
-//! The adapters are for `serde_with`, so that fields keep the standard types.
+//! The `serde_with` adapters let fields keep the standard types.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use serde_with::SerializeAs;
 use snafu::Snafu;
 
-/// Why a quantity cannot be read.
+/// Why a quantity cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum UnitError {
     /// The text does not begin with a whole number.
@@ -26,7 +26,7 @@
     Unit {
         /// The text.
         text: String,
-        /// The units that may stand there.
+        /// The accepted units.
         units: &'static str,
     },
     /// The quantity is too large.
@@ -37,13 +37,14 @@
     },
 }
 
-/// Adapter for a [`Duration`] written with a unit: `ms`, `s`, `m` or `h`.
+/// Adapter for a [`Duration`] with a unit: `ms`, `s`, `m` or `h`.
 pub struct DurationText;
 
-/// Adapter for a number of bytes written with a unit: `B`, `KB`, `KiB`, `MB`, `MiB`.
+/// Adapter for a number of bytes with a unit: `B`, `KB`, `KiB`, `MB`, `MiB`.
 pub struct ByteText;
 
-/// What YAML makes of a quantity: `90` without a unit is a number, and the fault to name is the unit.
+/// A quantity as YAML parses it. `90` without a unit is a number in YAML; it is accepted here so
+/// that the error names the missing unit instead of a wrong type.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum QuantityText {
@@ -69,24 +70,24 @@
     ("MiB", 1_048_576),
 ];
 
-/// Reads a duration such as `250ms`.
+/// Parses a duration such as `250ms`.
 pub fn parse_duration(text: &str) -> Result<Duration, UnitError> {
     let millis = parse_quantity(text, &DURATION_UNITS, "ms, s, m, h")?;
     Ok(Duration::from_millis(millis))
 }
 
-/// Reads a number of bytes such as `25KiB`.
+/// Parses a number of bytes such as `25KiB`.
 pub fn parse_bytes(text: &str) -> Result<u64, UnitError> {
     parse_quantity(text, &BYTE_UNITS, "B, KB, KiB, MB, MiB")
 }
 
-/// Writes a duration in its largest whole unit.
+/// Formats a duration in the largest unit that gives a whole number.
 pub fn format_duration(duration: Duration) -> String {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     format_quantity(millis, &DURATION_UNITS)
 }
 
-/// Writes a number of bytes in its largest whole unit.
+/// Formats a number of bytes in the largest unit that gives a whole number.
 pub fn format_bytes(bytes: u64) -> String {
     format_quantity(bytes, &BYTE_UNITS)
 }
--- a/lib/src/upstream_addresses.rs
+++ b/lib/src/upstream_addresses.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use crate::config_snapshot::ConfigSnapshot;
-use crate::ids::Incarnation;
+use crate::ids::Generation;
 use crate::ids::UpstreamId;
 
 /// Maximum number of deregistered processes kept; those with the smallest numbers are dropped
@@ -29,8 +29,8 @@
 /// Addresses of upstream processes by number and generation.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamAddresses {
-    published: BTreeMap<UpstreamId, (Incarnation, SocketAddr)>,
-    deregistered: BTreeMap<(UpstreamId, Incarnation), UpstreamReach>,
+    published: BTreeMap<UpstreamId, (Generation, SocketAddr)>,
+    deregistered: BTreeMap<(UpstreamId, Generation), UpstreamReach>,
 }
 
 impl UpstreamAddresses {
@@ -70,7 +70,7 @@
     }
 
     /// Adds the address at which a peer reaches a deregistered process.
-    pub fn learn(&mut self, upstream: UpstreamId, incarnation: Incarnation, address: SocketAddr) {
+    pub fn learn(&mut self, upstream: UpstreamId, incarnation: Generation, address: SocketAddr) {
         let mut published = self.published.values();
         let taken = published.any(|(_incarnation, other)| *other == address);
         if !taken && !self.published.contains_key(&upstream) {
@@ -82,7 +82,7 @@
     }
 
     /// Returns where a process is reachable.
-    pub fn reach(&self, upstream: UpstreamId, incarnation: Incarnation) -> UpstreamReach {
+    pub fn reach(&self, upstream: UpstreamId, incarnation: Generation) -> UpstreamReach {
         match self.published.get(&upstream) {
             Some((present, address)) if *present == incarnation => UpstreamReach::At(*address),
             Some((present, _address)) if *present > incarnation => UpstreamReach::Replaced,
@@ -98,7 +98,7 @@
     pub fn former_address(
         &self,
         upstream: UpstreamId,
-        incarnation: Incarnation,
+        incarnation: Generation,
     ) -> Option<SocketAddr> {
         match self.deregistered.get(&(upstream, incarnation))? {
             UpstreamReach::At(address) => Some(*address),
--- a/lib/src/upstream_system.rs
+++ b/lib/src/upstream_system.rs
@@ -201,7 +201,7 @@
     ) {
         let mut decisions = Vec::new();
         self.policy.end(now, key, outcome, &mut decisions);
-        self.carry_out(now, decisions, actions);
+        self.execute_decisions(now, decisions, actions);
     }
 }
 
--- a/lib/src/wire_frame.rs
+++ b/lib/src/wire_frame.rs
@@ -1,8 +1,9 @@
-//! The datagrams of lagoonproxy and their one codec.
+//! The datagram formats of lagoonproxy and their codec.
 //!
-//! A datagram is a fixed header (magic number, version, kind) and a body in `postcard`. Deadlines
-//! travel as the time that remains, because the clocks of hosts differ; [`crate::host_core`] turns
-//! them into instants as soon as they arrive. A datagram between peers ends in a keyed code.
+//! A datagram is a fixed header (magic number, version, kind) and a body encoded by `postcard`.
+//! Deadlines are sent as the remaining time, because the clocks of hosts differ;
+//! [`crate::host_core`] converts them to instants on arrival. A datagram between peers ends in a
+//! message authentication code (MAC).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,8 +24,8 @@
 use crate::group_heartbeat::GroupHeartbeat;
 use crate::group_heartbeat::HeartbeatEcho;
 use crate::ids::FlowId;
+use crate::ids::Generation;
 use crate::ids::HostId;
-use crate::ids::Incarnation;
 use crate::ids::RequestId;
 use crate::ids::ServiceAddress;
 use crate::ids::UpstreamId;
@@ -36,71 +37,73 @@
 
 /// First two bytes of every datagram.
 pub const MAGIC: [u8; 2] = *b"LG";
-/// Version of the codec that this build speaks.
+/// Version of the codec that this build supports.
 pub const CODEC_VERSION: u8 = 1;
-/// Bytes of magic number, version and kind.
+/// Length in bytes of magic number, version and kind.
 pub const HEADER_LEN: usize = 4;
-/// Bytes of the keyed code at the end of a datagram between peers.
-pub const PEER_CODE_LEN: usize = 16;
-/// Longest datagram in bytes that is sent or accepted; fits an Ethernet frame in IPv4 or IPv6.
+/// Length in bytes of the MAC at the end of a datagram between peers.
+pub const PEER_MAC_LEN: usize = 16;
+/// Maximum length in bytes of a datagram, without the MAC; a datagram with its MAC fits an Ethernet
+/// frame in IPv4 or IPv6.
 pub const MAX_DATAGRAM: usize = 1_432;
-/// Bytes of a buffer that holds any datagram and shows when one is too long.
-pub const FRAME_BUFFER_LEN: usize = MAX_DATAGRAM + PEER_CODE_LEN + 1;
-/// Longest payload in bytes of a request or of one part of an answer.
+/// Length in bytes of a buffer that holds any datagram and one byte more, which shows that a
+/// received datagram is too long.
+pub const FRAME_BUFFER_LEN: usize = MAX_DATAGRAM + PEER_MAC_LEN + 1;
+/// Maximum length in bytes of the payload of a request or of one part of an answer.
 pub const MAX_PAYLOAD: usize = 1_200;
 
-/// Room for one datagram of any link.
+/// Buffer for one datagram of any link.
 pub type FrameBuffer = [u8; FRAME_BUFFER_LEN];
 
-/// What can be known of whether a request ran.
+/// What is known of whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// Proved: it did not run and will not.
+    /// It has certainly not run and will not run.
     NotRun,
     /// It ran, but its answer cannot be delivered.
     Run,
-    /// Nobody can tell; asking again with the same number is always safe.
+    /// It may have run. Sending it again with the same number is always safe.
     Unknown,
 }
 
-/// Between a caller and any entry host.
+/// A frame between a caller and any entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerFrame {
-    /// The service the flow is for.
+    /// The service of the flow.
     pub service: ServiceAddress,
-    /// The flow, as numbered by the caller.
+    /// The flow number that the caller chose.
     pub flow: FlowId,
-    /// What is said.
+    /// The message.
     pub body: CallerBody,
 }
 
-/// The kinds of datagram between a caller and an entry host.
+/// The messages between a caller and an entry host.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallerBody {
-    /// Caller: establish the flow.
+    /// Caller: open the flow.
     Open,
-    /// Host: the flow is established.
+    /// Host: the flow is open.
     Opened,
-    /// Caller: run this.
+    /// Caller: run this request.
     Request(RequestBody),
-    /// Host: the request is known and in progress.
+    /// Host: the request is accepted and in progress.
     Accepted {
-        /// The request meant.
+        /// The accepted request.
         request: RequestId,
     },
     /// Host: a part of the answer.
     Part(AnswerPart),
-    /// Caller: the whole answer has arrived; the host may forget it.
+    /// Caller: the whole answer has arrived and the host may discard it.
     Ack {
-        /// The request meant.
+        /// The acknowledged request.
         request: RequestId,
     },
-    /// Host: the request, or with `request` absent the flow, will not be served.
+    /// Host: the request is rejected or, without a request number, the flow.
     Refusal(RefusalBody),
-    /// Caller: the answer is no longer wanted.
+    /// Caller: the answer is no longer needed.
     Cancel {
-        /// The request meant.
+        /// The cancelled request.
         request: RequestId,
     },
     /// Caller: the flow has ended.
@@ -109,38 +112,39 @@
     Closed,
 }
 
-/// A request as its caller sends it.
+/// A request as the caller sends it.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestBody {
-    /// The request; the same number on every retransmission.
+    /// The request number, equal in all retransmissions.
     pub request: RequestId,
     /// Time in milliseconds since the caller first sent this request.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
-    /// Time in milliseconds that remains until the caller stops waiting.
+    /// Time in milliseconds until the caller stops waiting.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub remaining: Duration,
-    /// Whether running it twice does no harm.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether its flow was opened, so that only the upstream that holds the flow may run it.
+    /// Whether the flow was opened, so that only the upstream that holds the flow may run the
+    /// request.
     ///
-    /// Without it, a host that has no record of the flow could not tell a request of an opened
-    /// flow, whose record another host may hold, from one that any upstream may run.
+    /// Without this field, a host that has no record of the flow could not distinguish a request of
+    /// an opened flow, whose record another host may hold, from one that any upstream may run.
     pub established: bool,
-    /// What the upstream gets.
+    /// The payload for the upstream.
     pub payload: Bytes,
 }
 
 /// One part of an answer. Invariant: `offset + payload.len() <= total`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerPart {
-    /// The request answered.
+    /// The request that the answer belongs to.
     pub request: RequestId,
-    /// The run that the part comes from, see [`RoutingTag::run_id`]; parts of two runs of an
-    /// idempotent request never make one answer.
+    /// The run that produced the part, see [`RoutingTag::run_id`]. Parts of two runs of an
+    /// idempotent request are never combined into one answer.
     pub run: u64,
-    /// Position of the payload's first byte in the whole answer.
+    /// Offset in bytes of the payload in the whole answer.
     pub offset: u32,
     /// Length of the whole answer in bytes.
     pub total: u32,
@@ -148,86 +152,88 @@
     pub payload: Bytes,
 }
 
-/// A refusal, given as soon as it is decided.
+/// A rejection of a request or flow, sent as soon as it is decided.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalBody {
-    /// The request refused, or `None` when the flow as a whole is.
+    /// The rejected request; `None` if the flow is rejected.
     pub request: Option<RequestId>,
-    /// Why.
+    /// The reason.
     pub code: ResultCode,
-    /// Whether the request ran.
+    /// What is known of whether the request ran.
     pub outcome: RunOutcome,
-    /// Time in milliseconds after which coming back makes sense.
+    /// Time in milliseconds after which a retry makes sense.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub retry_after: Duration,
 }
 
-/// What an upstream echoes unread, so that any host can deliver an answer without state.
+/// Routing information that an upstream echoes unchanged, so that any host can route an answer
+/// without state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RoutingTag {
-    /// The caller that waits.
+    /// The caller that waits for the answer.
     pub caller: SocketAddr,
-    /// The service the flow is for.
+    /// The service of the flow.
     pub service: ServiceAddress,
     /// The flow.
     pub flow: FlowId,
-    /// The request, zero for the flow's own frames.
+    /// The request; zero in frames that concern the flow itself.
     pub request: RequestId,
-    /// Which of all the attempts of the owner's process this is; zero for the flow's own frames.
+    /// Number of the attempt, unique within the owner's process; zero in frames that concern the
+    /// flow itself.
     pub attempt: u64,
-    /// The host that sent it and keeps its record.
+    /// The host that sent the frame and keeps the record.
     pub owner: HostId,
-    /// The process of that host; a later one has no record of it.
-    pub owner_incarnation: Incarnation,
-    /// The upstream it was sent to.
+    /// Generation of that host's process. A later process has no record of the attempt.
+    pub owner_incarnation: Generation,
+    /// The upstream that the frame was sent to.
     pub upstream: UpstreamId,
-    /// The upstream's incarnation it was meant for.
-    pub incarnation: Incarnation,
+    /// Generation of the upstream that the frame was sent to.
+    pub incarnation: Generation,
 }
 
 impl RoutingTag {
-    /// Names the attempt among all of the request's on any host.
+    /// Returns an identifier of the attempt among all attempts of the request on any host.
     pub fn run_id(&self) -> u64 {
         let process = rendezvous_weight(u64::from(self.owner), self.owner_incarnation);
         rendezvous_weight(process, self.attempt)
     }
 }
 
-/// Between an entry host and an upstream.
+/// A frame between an entry host and an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamFrame {
-    /// Set by the host, echoed by the upstream.
+    /// Set by the host and echoed by the upstream.
     pub tag: RoutingTag,
-    /// What is said.
+    /// The message.
     pub body: UpstreamBody,
 }
 
-/// The kinds of datagram between an entry host and an upstream.
+/// The messages between an entry host and an upstream.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamBody {
-    /// Host: a flow begins.
+    /// Host: a flow was opened.
     Open,
     /// Host: a flow has ended.
     Close,
-    /// Host: run this unless the deadline has passed.
+    /// Host: run this request unless its deadline has passed.
     Run {
-        /// Time in milliseconds after which it must not be started.
+        /// Time in milliseconds after which the request must not be started.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         remaining: Duration,
-        /// Whether running it twice does no harm.
+        /// Whether the request may run more than once.
         idempotent: bool,
-        /// What the caller sent.
+        /// The payload that the caller sent.
         payload: Bytes,
     },
-    /// Host: do not start this; if it runs, its answer is not wanted.
+    /// Host: do not start the request; if it runs, its answer is not needed.
     Cancel,
-    /// Upstream: it was started.
+    /// Upstream: the request was started.
     Started,
-    /// Upstream: it was not and will not be started.
+    /// Upstream: the request was not started and will not be.
     NotStarted {
-        /// Why.
+        /// The reason.
         reason: NotStartedReason,
         /// Time in milliseconds after which a slot may be free.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
@@ -240,20 +246,20 @@
 /// Why an upstream did not start a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NotStartedReason {
-    /// It has no free slot or connection.
+    /// The upstream has no free slot or connection.
     Shed,
-    /// It is draining.
+    /// The upstream is draining.
     Draining,
     /// The deadline had passed.
     DeadlinePassed,
-    /// It was cancelled before it started.
+    /// The request was cancelled before it started.
     Cancelled,
-    /// It was meant for another service or an earlier incarnation.
+    /// The request was sent for another service or to an earlier generation of the upstream.
     WrongUpstream,
 }
 
 impl NotStartedReason {
-    /// The result that metrics count it under.
+    /// Returns the result code that metrics count the reason under.
     pub fn code(self) -> ResultCode {
         match self {
             Self::Shed => ResultCode::UpstreamShed,
@@ -265,53 +271,53 @@
     }
 }
 
-/// Between entry hosts.
+/// A frame between entry hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerFrame {
     /// The host that sends this datagram.
     pub sender: HostId,
-    /// How often the enclosed frame was forwarded, this time included.
+    /// How often the enclosed frame has been forwarded, this time included.
     pub hops: u8,
-    /// What is said.
+    /// The message.
     pub body: PeerBody,
 }
 
-/// The kinds of datagram between entry hosts.
+/// The messages between entry hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerBody {
-    /// A caller's frame, for the flow's owner.
+    /// A caller's frame, forwarded to the flow's owner.
     FromCaller {
         /// The caller that sent it.
         caller: SocketAddr,
         /// Version of the host list by which the sender chose the receiver.
         view: Version,
-        /// The receiver's newest heartbeat that the sender had heard when it read the caller's
-        /// datagram. It dates this one: a sender that froze before it sent, or a replayed copy,
-        /// would otherwise pass for recent.
+        /// The newest heartbeat of the receiver that the sender had received when it read the
+        /// caller's datagram. It dates the frame: without it, a frame that was delayed by a stall
+        /// of the sender, or a replayed copy, would appear to be recent.
         echo: Option<HeartbeatEcho>,
-        /// Its frame.
+        /// The caller's frame.
         frame: CallerFrame,
     },
-    /// An upstream's frame, for the host that its tag names.
+    /// An upstream's frame, forwarded to the owner in its routing tag.
     FromUpstream(UpstreamFrame),
-    /// Between the load policies of two hosts.
+    /// A message between the load policies of two hosts.
     Load(LoadMessage),
-    /// Sign of life, echo and votes, within a cell.
+    /// A heartbeat within an ownership group, with echo and lease votes.
     Heartbeat(GroupHeartbeat),
-    /// Asks for a request's record before the sender takes it on.
+    /// Queries the record of a request before the sender accepts it.
     Query(RecordQuery),
-    /// Answers a query.
+    /// Replies to a query.
     Reply(RecordReply),
-    /// Between the flow directories of two hosts.
+    /// A message between the flow directories of two hosts.
     Flow {
-        /// Which processes it is between.
+        /// Generations of the sending and of the receiving process.
         parties: FlowParties,
-        /// What is said.
+        /// The message.
         message: FlowMessage,
     },
 }
 
-/// Which of the three frames a datagram holds; the fourth byte of its header.
+/// The type of the frame in a datagram; the fourth byte of the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum FrameKind {
@@ -320,52 +326,52 @@
     Peer = 3,
 }
 
-/// Key that the entry hosts of one user share.
+/// The MAC key that the entry hosts of one user share.
 #[derive(Clone)]
 pub struct PeerKey {
     key: [u8; 16],
 }
 
 impl PeerKey {
-    /// Makes a key of its bytes.
+    /// Creates a key from its bytes.
     pub fn new(key: [u8; 16]) -> Self {
         Self { key }
     }
 
-    fn code(&self, bytes: &[u8]) -> [u8; PEER_CODE_LEN] {
+    fn mac(&self, bytes: &[u8]) -> [u8; PEER_MAC_LEN] {
         let mut hasher = SipHasher24::new_with_key(&self.key);
         hasher.write(bytes);
         hasher.finish128().as_bytes()
     }
 }
 
-/// Encodes a frame of a caller's link into a buffer that is used again; the datagram's length.
-pub fn encode_caller_in(
+/// Encodes a frame of a caller's link into a reusable buffer. Returns the datagram's length.
+pub fn encode_caller_into(
     frame: &CallerFrame,
     buffer: &mut FrameBuffer,
 ) -> Result<usize, ResultCode> {
     encode_in(FrameKind::Caller, frame, buffer)
 }
 
-/// Encodes a frame of an upstream's link into a buffer that is used again; the datagram's length.
-pub fn encode_upstream_in(
+/// Encodes a frame of an upstream's link into a reusable buffer. Returns the datagram's length.
+pub fn encode_upstream_into(
     frame: &UpstreamFrame,
     buffer: &mut FrameBuffer,
 ) -> Result<usize, ResultCode> {
     encode_in(FrameKind::Upstream, frame, buffer)
 }
 
-/// Encodes a frame between peers, with its keyed code, into a buffer that is used again; the
-/// datagram's length.
-pub fn encode_peer_in(
+/// Encodes a frame between peers with its MAC into a reusable buffer. Returns the datagram's
+/// length.
+pub fn encode_peer_into(
     frame: &PeerFrame,
     key: &PeerKey,
     buffer: &mut FrameBuffer,
 ) -> Result<usize, ResultCode> {
     let len = encode_in(FrameKind::Peer, frame, buffer)?;
-    let (signed, rest) = buffer.split_at_mut(len);
-    rest[..PEER_CODE_LEN].copy_from_slice(&key.code(signed));
-    Ok(len + PEER_CODE_LEN)
+    let (authenticated, rest) = buffer.split_at_mut(len);
+    rest[..PEER_MAC_LEN].copy_from_slice(&key.mac(authenticated));
+    Ok(len + PEER_MAC_LEN)
 }
 
 /// Encodes a frame of a caller's link.
@@ -378,15 +384,15 @@
     encode(FrameKind::Upstream, frame).map(Bytes::from)
 }
 
-/// Encodes a frame between peers and appends its keyed code.
+/// Encodes a frame between peers and appends its MAC.
 pub fn encode_peer(frame: &PeerFrame, key: &PeerKey) -> Result<Bytes, ResultCode> {
     let mut bytes = encode(FrameKind::Peer, frame)?;
-    let code = key.code(&bytes);
-    bytes.extend_from_slice(&code);
+    let mac = key.mac(&bytes);
+    bytes.extend_from_slice(&mac);
     Ok(Bytes::from(bytes))
 }
 
-/// Decodes a datagram of a caller's link; the error is the reason it is dropped for.
+/// Decodes a datagram of a caller's link. The error is the reason for which it is dropped.
 pub fn decode_caller(bytes: &[u8]) -> Result<CallerFrame, ResultCode> {
     let frame: CallerFrame = decode(FrameKind::Caller, bytes)?;
     match &frame.body {
@@ -397,7 +403,7 @@
     Ok(frame)
 }
 
-/// Decodes a datagram of an upstream's link; the error is the reason it is dropped for.
+/// Decodes a datagram of an upstream's link. The error is the reason for which it is dropped.
 pub fn decode_upstream(bytes: &[u8]) -> Result<UpstreamFrame, ResultCode> {
     let frame: UpstreamFrame = decode(FrameKind::Upstream, bytes)?;
     if let UpstreamBody::Part(part) = &frame.body {
@@ -406,20 +412,21 @@
     Ok(frame)
 }
 
-/// Decodes a datagram of a peer's link after its code was verified.
+/// Verifies the MAC of a datagram of a peer's link and decodes it. The error is the reason for
+/// which it is dropped.
 pub fn decode_peer(bytes: &[u8], key: &PeerKey) -> Result<PeerFrame, ResultCode> {
-    let Some(signed_len) = bytes.len().checked_sub(PEER_CODE_LEN) else {
+    let Some(authenticated_len) = bytes.len().checked_sub(PEER_MAC_LEN) else {
         return Err(ResultCode::FrameTruncated);
     };
-    let (signed, code) = bytes.split_at(signed_len);
-    if !codes_equal(code, &key.code(signed)) {
+    let (authenticated, mac) = bytes.split_at(authenticated_len);
+    if !macs_equal(mac, &key.mac(authenticated)) {
         return Err(ResultCode::FrameForged);
     }
-    decode(FrameKind::Peer, signed)
+    decode(FrameKind::Peer, authenticated)
 }
 
-/// Compares in time that does not depend on the contents, so that a code cannot be guessed bytewise.
-fn codes_equal(left: &[u8], right: &[u8]) -> bool {
+/// Compares two MACs in constant time, so that a MAC cannot be guessed byte by byte.
+fn macs_equal(left: &[u8], right: &[u8]) -> bool {
     let differing = left
         .iter()
         .zip(right)
--- a/lib/tests/fake_group.rs
+++ b/lib/tests/fake_group.rs
@@ -424,7 +424,10 @@
         let digest = hasher.digest(ledger_address(), flow_caller(flow), flow);
         let acts = |index: &usize| {
             let core = self.hosts[*index].core.as_ref();
-            core.is_some_and(|core| core.acts_since(self.local_time(*index), digest).is_some())
+            core.is_some_and(|core| {
+                core.may_accept_since(self.local_time(*index), digest)
+                    .is_some()
+            })
         };
         let indexes = (0..self.hosts.len()).filter(acts);
         indexes.map(|index| self.hosts[index].id).collect()
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The tests of the decisions, in one program so that linking is fast.
+//! All tests of the crate in one program, so that linking is fast.
 
 mod deferred_policy;
 mod fake_endpoints;
--- a/lib/tests/test_byte_budget.rs
+++ b/lib/tests/test_byte_budget.rs
@@ -1,4 +1,4 @@
-//! The byte budget under a burst.
+//! Tests of the byte budget under a burst.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,9 +9,9 @@
 const RATE: u32 = 10_000;
 const BURST: u32 = 20_000;
 
-/// A host that was away pulls the whole configuration while changes arrive without end. Without
-/// the bucket the sender would spend what its link carries; over a minute it may send the rate and
-/// the burst, and one message more.
+/// A host that was disconnected pulls the whole configuration while changes arrive continuously.
+/// Without the bucket the sender would fill its link. In a minute it may send at most a minute of
+/// the rate, the burst and one more message.
 #[test]
 fn test_budget_bounds_bytes_over_time() {
     let start = Instant::now();
@@ -35,7 +35,7 @@
     assert!(sent >= 50 * u64::from(RATE), "{sent}");
 }
 
-/// One case of what may still be sent when part of the bucket is used up.
+/// The classes that may still be sent after a part of the bucket is used.
 struct ReserveCase {
     used: usize,
     removal: bool,
@@ -43,7 +43,8 @@
     repair: bool,
 }
 
-/// A resynchronisation has used the bucket, and an upstream is drained. The drain must not wait.
+/// A resynchronisation has used most of the bucket when an upstream is drained. The drain must not
+/// wait.
 #[test]
 fn test_budget_keeps_a_reserve_for_more_urgent_classes() {
     let cases = [
--- a/lib/tests/test_config_check.rs
+++ b/lib/tests/test_config_check.rs
@@ -1,4 +1,4 @@
-//! Tests of what refuses a published configuration, and of what is only worth a look.
+//! Tests of the faults that reject a published configuration, and of its warnings.
 
 use lagoonproxy::config_check::config_faults;
 use lagoonproxy::config_check::config_warnings;
@@ -76,13 +76,16 @@
         let name = case.name;
         assert_eq!(config.compile().is_ok(), case.faults.is_empty(), "{name}");
         assert_eq!(faults.len(), case.faults.len(), "{name}: {faults:?}");
-        for (fault, says) in faults.iter().zip(case.faults) {
-            assert!(fault.to_string().starts_with(says), "{name}: {fault}");
+        for (fault, message) in faults.iter().zip(case.faults) {
+            assert!(fault.to_string().starts_with(message), "{name}: {fault}");
         }
         let warnings = config_warnings(&config);
         assert_eq!(warnings.len(), case.warnings.len(), "{name}: {warnings:?}");
-        for (warning, says) in warnings.iter().zip(case.warnings) {
-            assert!(warning.to_string().starts_with(says), "{name}: {warning}");
+        for (warning, message) in warnings.iter().zip(case.warnings) {
+            assert!(
+                warning.to_string().starts_with(message),
+                "{name}: {warning}"
+            );
         }
     }
 }
--- a/lib/tests/test_config_store.rs
+++ b/lib/tests/test_config_store.rs
@@ -1,4 +1,5 @@
-//! Copies of the published keys in any order, and what peers send each other of them.
+//! Tests that copies of keys in any order give the same store, and that updates between hosts give
+//! the published state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 
 const KEYS: [&str; 3] = ["upstreams/a/0", "upstreams/a/1", "upstreams/b/0"];
 
-/// A value of a key that follows from its version, as on the platform.
+/// The value of a key in a version, which always has the same content, as on the platform.
 fn value_at(version: Version) -> Option<Arc<KeyValue>> {
     if version.is_multiple_of(7) {
         return None;
@@ -35,7 +36,8 @@
     if (version / 2 + u64::from(doc.id)).is_multiple_of(3) {
         doc.state = UpstreamState::Draining;
     }
-    // Often as two versions before, so that a delta which skips a version leaves it out.
+    // The value often equals that of two versions before, so that a delta over both versions leaves
+    // the entry out.
     doc.slots = 2 + ((version + u64::from(doc.id)) / 2 % 2) as u32;
     (doc.id, Arc::new(EntryDoc::Upstream(doc)))
 }
@@ -64,8 +66,8 @@
 }
 
 proptest! {
-    /// A user drains an upstream; a stale replica and a peer that restarted deliver older copies
-    /// afterwards, some twice. Without the maximum over versions the drain would be undone.
+    /// Guards against a drain that is undone by older copies, which a lagging replica or a
+    /// restarted peer sends later and in part twice.
     #[test]
     fn test_join_order_and_copies_do_not_matter(
         mut versions in prop::collection::vec(1_u64..40, 1..60),
@@ -73,8 +75,8 @@
     ) {
         let mut forward = ConfigStore::default();
         versions.iter().for_each(|version| join_at(&mut forward, *version));
-        let turn = (seed % versions.len() as u64) as usize;
-        versions.rotate_left(turn);
+        let rotation = (seed % versions.len() as u64) as usize;
+        versions.rotate_left(rotation);
         versions.reverse();
         let mut backward = ConfigStore::default();
         for version in versions.iter().chain(&versions) {
@@ -84,22 +86,22 @@
         prop_assert_eq!(forward.digest(), backward.digest());
     }
 
-    /// A host that was away pulls from a neighbour that itself saw only some of the revisions.
-    /// Whatever each of them skipped, afterwards it holds exactly what was published, or knows
-    /// which keys it has to ask for whole.
+    /// Guards against a wrong state after a pull from a neighbour that received only some of the
+    /// revisions. The receiver has to end with exactly the published state, or to know which keys
+    /// it has to request whole.
     #[test]
     fn test_updates_lead_to_the_published_state(
         after in 1_u64..60,
-        grown in 1_u64..60,
+        new_revisions in 1_u64..60,
         skipped in prop::collection::btree_set(1_u64..120, 0..60),
     ) {
-        let revision = after + grown;
+        let revision = after + new_revisions;
         let mut sender = ConfigStore::default();
-        let last_of_key = |version: &Version| {
+        let is_last_of_key = |version: &Version| {
             let key = key_at(*version);
             !(*version + 1..=revision).any(|later| key_at(later) == key)
         };
-        for version in (1..=revision).filter(|v| !skipped.contains(v) || last_of_key(v)) {
+        for version in (1..=revision).filter(|v| !skipped.contains(v) || is_last_of_key(v)) {
             join_at(&mut sender, version);
         }
         sender.complete(revision);
@@ -117,8 +119,8 @@
     }
 }
 
-/// An operator drains one upstream of a shard of six. Sending the shard again to every host would
-/// cost the zone ten times the bytes.
+/// Guards against sending a whole shard for the drain of one of its six upstreams, which would cost
+/// the zone ten times the bytes.
 #[test]
 fn test_updates_after_drain_carry_the_state_only() {
     let key: ConfigKey = KEYS[0].into();
@@ -133,7 +135,7 @@
     docs[3].state = UpstreamState::Draining;
     store.join(&key, 2, rows(&docs));
     let updates = store.updates_after(1, &BTreeMap::new());
-    assert!(updates[0].takes_away());
+    assert!(updates[0].is_removal());
     let UpdateBody::Delta {
         base,
         rows,
@@ -147,8 +149,8 @@
     assert_eq!(*closing, [(3, true)]);
 }
 
-/// A reader knows of a change under one prefix and not yet whether another prefix changed before
-/// it. Compiling then would put a state in force that was never published.
+/// Guards against compiling a state that was never published: a reader has received a change under
+/// one prefix, and an earlier one under another prefix is still missing.
 #[test]
 fn test_store_is_whole_only_when_nothing_is_ahead() {
     let mut store = published_at(5);
--- a/lib/tests/test_control_core.rs
+++ b/lib/tests/test_control_core.rs
@@ -1,4 +1,4 @@
-//! One host's control decisions, with the platform and peers played by the test.
+//! Tests of the control core of one host; the test simulates the platform and the peers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,8 +11,8 @@
 use lagoonproxy::control_event::CallId;
 use lagoonproxy::control_event::ControlAction;
 use lagoonproxy::control_event::ControlEvent;
-use lagoonproxy::control_event::PlatformAnswer;
 use lagoonproxy::control_event::PlatformRequest;
+use lagoonproxy::control_event::PlatformResponse;
 use lagoonproxy::control_event::PublishedKey;
 use lagoonproxy::ids::HostId;
 use lagoonproxy::ids::Version;
@@ -24,13 +24,13 @@
 use crate::world::host_view;
 use crate::world::ledger_config;
 
-/// A host and what it did.
+/// A control core and the actions that it has requested.
 struct TestHost {
     core: ControlCore,
     now: Instant,
     calls: Vec<(CallId, PlatformRequest)>,
     versions: Vec<Version>,
-    /// Each list of hosts that was handed over: its version and the numbers in it.
+    /// Each delivered host list: its version and the host numbers in it.
     host_lists: Vec<(Version, Vec<HostId>)>,
     codes: Vec<ResultCode>,
     sent: Vec<(HostId, RelayMessage)>,
@@ -46,7 +46,7 @@
             prefixes: vec!["".into()],
             send_rate: 10_000,
             read_rate: 10_000,
-            first_beat: 1,
+            first_heartbeat: 1,
             seed: 7,
         };
         Self {
@@ -91,20 +91,20 @@
         }
     }
 
-    fn answer(&mut self, answer: PlatformAnswer) {
+    fn answer(&mut self, answer: PlatformResponse) {
         let (call, _request) = self.calls.pop().expect("a call is open");
-        self.handle(ControlEvent::PlatformAnswer {
+        self.handle(ControlEvent::PlatformResponse {
             call,
             answer,
             bytes: 100,
         });
     }
 
-    /// Lists and answers everything that a starting host asks for.
+    /// Responds to all platform calls of a starting host.
     fn start(&mut self) {
         self.run_for(CONTROL_TICK);
         let keys = published(1);
-        self.answer(PlatformAnswer::Keys {
+        self.answer(PlatformResponse::Keys {
             revision: 10,
             keys: keys.iter().map(|k| (k.key.clone(), k.version)).collect(),
         });
@@ -114,7 +114,7 @@
                 continue;
             };
             let value = keys.iter().find(|published| published.key == *key).cloned();
-            self.answer(PlatformAnswer::Value(value));
+            self.answer(PlatformResponse::Value(value));
         }
     }
 
@@ -122,14 +122,14 @@
         let announcement = Announcement {
             through,
             digest: 1,
-            beats: Vec::new(),
+            reader_heartbeats: Vec::new(),
         };
         let bytes = RelayMessage::Announce(announcement).encode().unwrap();
         self.handle(ControlEvent::PeerMessage { host, bytes });
     }
 }
 
-/// Services, upstreams and hosts; `slots` tells versions of the upstreams apart.
+/// Services, upstreams and hosts; `slots` distinguishes versions of the upstreams.
 fn published(slots: u32) -> Vec<PublishedKey> {
     let mut config = ledger_config(1, 3);
     config
@@ -148,7 +148,7 @@
     ]
 }
 
-fn drained(version: Version) -> PublishedKey {
+fn changed_upstreams(version: Version) -> PublishedKey {
     PublishedKey {
         version,
         ..published(version as u32).remove(2)
@@ -162,50 +162,51 @@
 }
 
 #[test]
-fn test_start_waits_for_everything_listed() {
+fn test_start_waits_for_all_listed_keys() {
     let mut host = TestHost::new(1);
     host.start();
     assert_eq!(host.versions, [10]);
     assert!(host.core.status().ready);
 }
 
-/// The platform was restored from a backup an hour old. Hosts that took it would bring back
-/// upstreams that operators have removed since. Its answers are refused until it has caught up.
+/// The platform was restored from a backup that is an hour old. Hosts that applied it would bring
+/// back upstreams that operators have removed since. Its responses are rejected until their version
+/// is newer.
 #[test]
 fn test_platform_with_older_copy_is_refused() {
     let mut host = TestHost::new(1);
     host.start();
-    host.answer(PlatformAnswer::Changes {
+    host.answer(PlatformResponse::Changes {
         revision: 12,
-        changes: vec![drained(12)],
+        changes: vec![changed_upstreams(12)],
     });
     host.run_for(Duration::from_secs(1));
     assert_eq!(host.versions, [10, 12]);
-    host.answer(PlatformAnswer::Changes {
+    host.answer(PlatformResponse::Changes {
         revision: 11,
-        changes: vec![drained(11)],
+        changes: vec![changed_upstreams(11)],
     });
     host.run_for(Duration::from_secs(2));
     assert_eq!(host.versions, [10, 12]);
     assert_eq!(host.codes, [ResultCode::PlatformStale]);
     assert!(host.core.status().platform_stale);
-    host.answer(PlatformAnswer::Changes {
+    host.answer(PlatformResponse::Changes {
         revision: 13,
-        changes: vec![drained(13)],
+        changes: vec![changed_upstreams(13)],
     });
     host.run_for(Duration::from_secs(1));
     assert_eq!(host.versions, [10, 12, 13]);
 }
 
-/// A host starts while the platform is away and nobody answers. Serving a guess would send callers
-/// to upstreams of another service.
+/// A host starts while neither the platform nor a peer responds. If it served without
+/// configuration, callers could reach upstreams of another service.
 #[test]
 fn test_start_without_platform_and_peers_stays_without_configuration() {
     let mut host = TestHost::new(1);
     for _second in 0..120 {
         host.run_for(Duration::from_secs(1));
         while !host.calls.is_empty() {
-            host.answer(PlatformAnswer::Unreachable);
+            host.answer(PlatformResponse::Unreachable);
         }
     }
     assert!(host.versions.is_empty());
@@ -214,15 +215,16 @@
     assert!((5..15).contains(&calls), "{calls} calls in two minutes");
 }
 
-/// A host starts while the platform is away, beside a peer that was paused for an hour and one that
-/// is up to date. Taking the first that answers would put the old state in force.
+/// A host starts while the platform is unreachable. One of its peers was frozen for an hour and
+/// another is up to date. With the state of the first peer that replies, the host could apply the
+/// old state.
 #[test]
 fn test_start_without_platform_takes_the_newest_of_several_peers() {
     let mut source = TestHost::new(2);
     source.start();
     let mut host = TestHost::new(1);
     host.run_for(CONTROL_TICK);
-    host.answer(PlatformAnswer::Unreachable);
+    host.answer(PlatformResponse::Unreachable);
     for (peer, through) in [(2, 10), (3, 4)] {
         host.handle(ControlEvent::PeerUp(peer));
         host.announce(peer, through);
@@ -238,7 +240,7 @@
     host.run_for(Duration::from_secs(1));
     assert!(host.versions.is_empty(), "two peers are not several");
     for _second in 0..5 {
-        // Peers that fall silent would not count as reachable.
+        // Peers that send no announcements would not count as reachable.
         host.announce(2, 10);
         host.announce(3, 4);
         host.run_for(Duration::from_secs(1));
@@ -246,17 +248,17 @@
     assert_eq!(host.versions, [10]);
 }
 
-/// An operator publishes a value that cannot be read. Hosts that dropped only that value would
-/// serve without those upstreams.
+/// An operator publishes a value that cannot be parsed. Hosts that skipped only that value would
+/// serve without its upstreams.
 #[test]
 fn test_invalid_value_leaves_the_last_accepted_in_force() {
     let mut host = TestHost::new(1);
     host.start();
     let broken = PublishedKey {
         value: Some(json!("oops")),
-        ..drained(11)
+        ..changed_upstreams(11)
     };
-    host.answer(PlatformAnswer::Changes {
+    host.answer(PlatformResponse::Changes {
         revision: 11,
         changes: vec![broken],
     });
@@ -264,18 +266,19 @@
     assert_eq!(host.versions, [10]);
     assert_eq!(host.refused.len(), 1);
     assert!(host.refused[0].contains("upstreams/zig-a/0"));
-    host.answer(PlatformAnswer::Changes {
+    host.answer(PlatformResponse::Changes {
         revision: 12,
-        changes: vec![drained(12)],
+        changes: vec![changed_upstreams(12)],
     });
     host.run_for(Duration::from_secs(1));
     assert_eq!(host.versions, [10, 12]);
 }
 
-/// Of three keys changed, the drain has arrived and the rest is held back by the byte budget. The
-/// drain must not wait for the additions; the whole state must still replace the partial one.
+/// Of three changed keys, the one with a drain has arrived and the byte budget holds back the
+/// others. The drain must not wait for the additions, and the whole state must still replace the
+/// partial one.
 #[test]
-fn test_partial_state_is_put_in_force_after_patience_and_replaced() {
+fn test_partial_state_is_delivered_after_timeout_and_replaced() {
     let mut host = TestHost::new(3);
     host.start();
     host.handle(ControlEvent::PeerUp(2));
@@ -285,7 +288,7 @@
         .into_iter()
         .for_each(|key| join(&mut source, key));
     source.complete(10);
-    join(&mut source, drained(12));
+    join(&mut source, changed_upstreams(12));
     let part = RelayMessage::Updates {
         updates: source.updates_after(10, &Default::default()),
         through: 0,
@@ -295,11 +298,7 @@
         bytes: part.encode().unwrap(),
     });
     host.run_for(Duration::from_secs(1));
-    assert_eq!(
-        host.versions,
-        [10],
-        "a mixture while the rest may still come"
-    );
+    assert_eq!(host.versions, [10], "partial state before the timeout");
     host.run_for(Duration::from_secs(2));
     assert_eq!(host.versions, [10, 11]);
     let mut service = published(1).remove(1);
@@ -319,12 +318,12 @@
     assert_eq!(host.versions, [10, 11, 14]);
 }
 
-/// The lists of two zones change at once, and the part with the larger version arrives first. An
-/// entry host that counts majorities over one part alone could act beside the others; and when the
-/// other part arrives, the newest version is the same as before, so that it is never taken in and
-/// the host waits for its claim for ever.
+/// The host lists of two zones change at once, and the part with the larger version arrives first.
+/// An entry host that counts majorities over that part alone could accept requests at the same time
+/// as the others. When the other part arrives, the newest version is the same as before, so the
+/// entry host would never adopt the whole list and would wait for its lease forever.
 #[test]
-fn test_list_of_hosts_is_handed_over_whole() {
+fn test_host_list_is_delivered_whole() {
     let mut host = TestHost::new(3);
     host.start();
     assert_eq!(host.host_lists, [(8, vec![1, 2, 3])]);
@@ -350,7 +349,7 @@
         bytes: newest.encode().unwrap(),
     });
     host.run_for(Duration::from_secs(3));
-    assert_eq!(host.host_lists.len(), 1, "a part of the list");
+    assert_eq!(host.host_lists.len(), 1, "partial host list");
     join(&mut source, part("hosts/zig-b", 11, &[4, 5]));
     let rest = RelayMessage::Updates {
         updates: source.updates_after(10, &Default::default()),
--- a/lib/tests/test_daemon_settings.rs
+++ b/lib/tests/test_daemon_settings.rs
@@ -91,10 +91,10 @@
         let refused = EntrySettings::parse(&case.text).unwrap_err();
         let name = case.name;
         assert_eq!(refused.faults.len(), case.faults.len(), "{name}: {refused}");
-        for (fault, (line, field, says)) in refused.faults.iter().zip(case.faults) {
+        for (fault, (line, field, expected_message)) in refused.faults.iter().zip(case.faults) {
             assert_eq!(fault.line, *line, "{name}: {fault}");
             assert_eq!(fault.field, *field, "{name}: {fault}");
-            assert!(fault.message.contains(says), "{name}: {fault}");
+            assert!(fault.message.contains(expected_message), "{name}: {fault}");
         }
     }
 }
@@ -124,7 +124,8 @@
 
 #[test]
 fn test_fields_within_a_range() {
-    // Guards against a value out of range that is used, or whose fault hides those of other fields.
+    // Guards against a value that is used although it is out of range, or whose fault hides those
+    // of other fields.
     struct Case {
         name: &'static str,
         text: &'static str,
--- a/lib/tests/test_host_core.rs
+++ b/lib/tests/test_host_core.rs
@@ -1,4 +1,4 @@
-//! Tests of the door: what callers receive for what happens.
+//! Tests of the host core's actions on callers' and upstreams' frames.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -54,8 +54,8 @@
 
 #[test]
 fn test_request_second_copy_is_not_run() {
-    // A transfer record stands twice in the ledger. The fabric delivers one datagram twice, and the
-    // owner sends each copy to an upstream because it does not remember the first.
+    // The fabric delivers a request twice. Without a record of the first copy, the owner would send
+    // each copy to an upstream, and the transfer would be in the ledger twice.
     let now = Instant::now();
     let mut core = ready_core(now);
     let first = step(
@@ -122,8 +122,8 @@
 
 #[test]
 fn test_older_config_is_ignored() {
-    // An upstream that operators removed gets traffic again: a lagging replica delivers version 1
-    // after version 2, and the host puts it in force.
+    // A lagging replica delivers version 1 after version 2. If the host applied it, an upstream
+    // that operators have removed would get traffic again.
     let now = Instant::now();
     let mut core = ready_core(now);
     let newer = ledger_config(2, 1).compile().unwrap();
--- a/lib/tests/test_host_status.rs
+++ b/lib/tests/test_host_status.rs
@@ -1,4 +1,4 @@
-//! Tests of when a host calls itself ready.
+//! Tests of the readiness of a host.
 
 use lagoonproxy::host_status::HostStatus;
 
@@ -9,9 +9,10 @@
 }
 
 #[test]
-fn test_host_is_ready_once_it_would_not_refuse_what_it_will_soon_take_on() {
-    // Callers are told 'unknown' in the first seconds of a fleet: the fabric hands them to hosts whose
-    // claims are not settled yet, because the hosts call themselves ready with their first list.
+fn test_host_is_ready_once_its_lease_is_settled() {
+    // If hosts were ready with their first host list, the fabric would send callers to hosts whose
+    // leases are not settled yet, and in the first seconds of a fleet callers would get the outcome
+    // 'unknown'.
     let cases = [
         ReadyCase {
             name: "serving",
@@ -19,7 +20,7 @@
             reason: None,
         },
         ReadyCase {
-            name: "claim not settled yet",
+            name: "lease not settled yet",
             change: |status| {
                 status.holds_claim = false;
                 status.settling = true;
@@ -27,7 +28,7 @@
             reason: Some("the claim is not settled yet"),
         },
         ReadyCase {
-            name: "claim lost in a cut",
+            name: "lease lost in a partition",
             change: |status| status.holds_claim = false,
             reason: None,
         },
--- a/lib/tests/test_invariants.rs
+++ b/lib/tests/test_invariants.rs
@@ -1,4 +1,4 @@
-//! The page of invariants names tests that exist.
+//! Checks that the documentation pages name only tests that exist.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,7 +8,7 @@
     "lib", "packet", "platform", "packetd", "daemon", "cli", "standin", "bench",
 ];
 
-/// Every word of `text` that looks like the name of a test.
+/// Returns every word of `text` that has the form of a test name.
 fn test_names(text: &str) -> BTreeSet<&str> {
     let words = text.split(|letter: char| !letter.is_alphanumeric() && letter != '_');
     words.filter(|word| word.starts_with("test_")).collect()
--- a/lib/tests/test_key_version.rs
+++ b/lib/tests/test_key_version.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn test_versions_of_later_eras_are_larger() {
-    // Guards against a smaller revision of a later era that is taken for older.
+    // Guards against treating a later era's version as older because its revision is smaller.
     struct Case {
         era: u64,
         revision: u64,
--- a/lib/tests/test_label_selector.rs
+++ b/lib/tests/test_label_selector.rs
@@ -1,4 +1,4 @@
-//! Tests of selectors: what matches, and where the errors point.
+//! Tests of selectors: which labels match, and the columns of errors.
 
 use lagoonproxy::label_selector::LabelMap;
 use lagoonproxy::label_selector::LabelSelector;
@@ -12,7 +12,7 @@
 struct ErrorCase {
     selector: &'static str,
     column: usize,
-    says: &'static str,
+    message: &'static str,
 }
 
 fn labels() -> LabelMap {
@@ -83,16 +83,16 @@
         ("!", 2, "expected a label's key"),
         ("a=x/y", 3, "`/` is not allowed"),
     ]
-    .map(|(selector, column, says)| ErrorCase {
+    .map(|(selector, column, message)| ErrorCase {
         selector,
         column,
-        says,
+        message,
     });
     for case in cases {
         let error = LabelSelector::parse(case.selector).unwrap_err();
         assert_eq!(error.column(), case.column, "{:?}: {error}", case.selector);
         let text = error.to_string();
-        assert!(text.contains(case.says), "{:?}: {text}", case.selector);
+        assert!(text.contains(case.message), "{:?}: {text}", case.selector);
     }
 }
 
--- a/lib/tests/test_load_scenarios.rs
+++ b/lib/tests/test_load_scenarios.rs
@@ -10,15 +10,15 @@
 use lagoonproxy_bench::cluster_plan::CallerClass;
 use lagoonproxy_bench::cluster_plan::ClusterPlan;
 use lagoonproxy_bench::cluster_plan::FleetState;
-use lagoonproxy_bench::cluster_plan::RefusedHabit;
-use lagoonproxy_bench::outcome_report::RunFigures;
+use lagoonproxy_bench::cluster_plan::RetryBehavior;
+use lagoonproxy_bench::outcome_report::RunMetrics;
 use lagoonproxy_bench::outcome_report::quantile;
 use lagoonproxy_bench::virtual_cluster::CallerResult;
+use lagoonproxy_bench::virtual_cluster::ClusterChange;
 use lagoonproxy_bench::virtual_cluster::ClusterRun;
-use lagoonproxy_bench::virtual_cluster::JobOutcome;
+use lagoonproxy_bench::virtual_cluster::RequestRun;
 use lagoonproxy_bench::virtual_cluster::VirtualCluster;
-use lagoonproxy_bench::virtual_cluster::WorldChange;
-use lagoonproxy_bench::virtual_upstream::FullHabit;
+use lagoonproxy_bench::virtual_upstream::SaturationBehavior;
 use lagoonproxy_bench::work_shape::WorkShape;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -40,12 +40,12 @@
     }
 }
 
-fn run(plan: &ClusterPlan, changes: &[(Duration, WorldChange)]) -> ClusterRun {
+fn run(plan: &ClusterPlan, changes: &[(Duration, ClusterChange)]) -> ClusterRun {
     let policy = |host: u32| {
         let seed = plan.seed * 100 + u64::from(host);
         Box::new(ServicePolicy::new(host, seed, LoadSettings::default())) as Box<_>
     };
-    let mut cluster = VirtualCluster::new(plan.clone(), FullHabit::Shed, policy);
+    let mut cluster = VirtualCluster::new(plan.clone(), SaturationBehavior::Shed, policy);
     for (after, change) in changes {
         cluster.change(*after, change.clone());
     }
@@ -60,25 +60,26 @@
     class: usize,
     from: Duration,
     to: Duration,
-) -> Vec<&JobOutcome> {
+) -> Vec<&RequestRun> {
     let span = run.begin + from..run.begin + to;
-    let jobs = run.jobs.iter();
-    jobs.filter(|job| job.class == class && span.contains(&job.arrived))
+    let requests = run.requests.iter();
+    requests
+        .filter(|job| job.class == class && span.contains(&job.arrived))
         .collect()
 }
 
-fn success_rate(jobs: &[&JobOutcome]) -> f64 {
-    let answered = |job: &&&JobOutcome| job.result == CallerResult::Answered;
-    jobs.iter().filter(answered).count() as f64 / jobs.len() as f64
+fn success_rate(requests: &[&RequestRun]) -> f64 {
+    let answered = |job: &&&RequestRun| job.result == CallerResult::Answered;
+    requests.iter().filter(answered).count() as f64 / requests.len() as f64
 }
 
-fn count(jobs: &[&JobOutcome], result: CallerResult) -> usize {
-    jobs.iter().filter(|job| job.result == result).count()
+fn count(requests: &[&RequestRun], result: CallerResult) -> usize {
+    requests.iter().filter(|job| job.result == result).count()
 }
 
 /// 99th percentile of the time from arrival to response, in seconds.
-fn response_p99(jobs: &[&JobOutcome]) -> f64 {
-    let answered = jobs
+fn response_p99(requests: &[&RequestRun]) -> f64 {
+    let answered = requests
         .iter()
         .filter(|job| job.result == CallerResult::Answered);
     let times = answered.map(|job| job.ended - job.arrived).collect();
@@ -91,7 +92,7 @@
     // hosts know nothing of each other's requests, overload some upstreams and leave others idle.
     let plan = plan(vec![class("all", 100, 0.8)], 65);
     let run = run(&plan, &[]);
-    let figures = RunFigures::of_run(&plan, &run);
+    let figures = RunMetrics::from_run(&plan, &run);
     assert!(figures.answered >= 0.99, "{figures:?}");
     assert!(figures.imbalance <= 1.07, "{figures:?}");
     assert!(figures.wait_p99_ms <= 150.0, "{figures:?}");
@@ -108,7 +109,7 @@
     };
     let plan = plan(vec![class("steady", 100, 0.5), burst], 40);
     let run = run(&plan, &[]);
-    let all: Vec<&JobOutcome> = run.jobs.iter().collect();
+    let all: Vec<&RequestRun> = run.requests.iter().collect();
     assert_eq!(count(&all, CallerResult::MissedWaiting), 0);
     assert!(count(&all, CallerResult::MissedRunning) <= 1);
     let burst = requests_between(&run, 1, Duration::ZERO, SECOND * 40);
@@ -185,7 +186,10 @@
     // slot of another upstream may wait for it.
     let plan = plan(vec![class("all", 100, 0.2)], 65);
     let usual = run(&plan, &[]);
-    let slowed = run(&plan, &[(SECOND * 2, WorldChange::Pace(4, 8.0))]);
+    let slowed = run(
+        &plan,
+        &[(SECOND * 2, ClusterChange::ServiceTimeFactor(4, 8.0))],
+    );
     let span = (SECOND * 15, SECOND * 65);
     let before = requests_between(&usual, 0, span.0, span.1);
     let after = requests_between(&slowed, 0, span.0, span.1);
@@ -204,7 +208,7 @@
 
 struct MisreportCase {
     name: &'static str,
-    changes: Vec<(Duration, WorldChange)>,
+    changes: Vec<(Duration, ClusterChange)>,
     /// Maximum number of sends per request; a request that is shed is sent again.
     max_sends: f64,
     min_success: f64,
@@ -216,7 +220,7 @@
     // what they observe; otherwise callers are refused and requests are retried for as long as this
     // lasts.
     let report = |upstream, healthy, busy_slots| {
-        WorldChange::Report(UpstreamReport {
+        ClusterChange::Report(UpstreamReport {
             upstream,
             healthy,
             busy_slots,
@@ -227,7 +231,7 @@
         MisreportCase {
             name: "has one slot, but reports two idle ones",
             changes: vec![
-                (SECOND, WorldChange::Slots(2, 1)),
+                (SECOND, ClusterChange::Slots(2, 1)),
                 (SECOND * 6, report(2, true, 0)),
             ],
             max_sends: 1.02,
@@ -245,7 +249,7 @@
         MisreportCase {
             name: "sheds everything, but reports that it is healthy",
             changes: vec![
-                (SECOND, WorldChange::Slots(2, 0)),
+                (SECOND, ClusterChange::Slots(2, 0)),
                 (SECOND * 6, report(2, true, 0)),
             ],
             max_sends: 1.02,
@@ -254,7 +258,7 @@
         MisreportCase {
             name: "is dead, but reports that it is healthy",
             changes: vec![
-                (SECOND, WorldChange::Mute(2, true)),
+                (SECOND, ClusterChange::Unresponsive(2, true)),
                 (SECOND * 6, report(2, true, 0)),
             ],
             max_sends: 1.0,
@@ -264,7 +268,7 @@
     let plan = plan(vec![class("all", 100, 0.6)], 45);
     for case in cases {
         let run = run(&plan, &case.changes);
-        let figures = RunFigures::of_run(&plan, &run);
+        let figures = RunMetrics::from_run(&plan, &run);
         let name = case.name;
         assert!(
             figures.sends_per_job <= case.max_sends,
@@ -288,7 +292,7 @@
         ..class("long", 20, 0.15 / 0.95 * 0.05 * 50.0)
     };
     let with_long_timeout = |classes| ClusterPlan {
-        patience: SECOND * 60,
+        request_timeout: SECOND * 60,
         ..plan(classes, 185)
     };
     let alone = run(&with_long_timeout(vec![short.clone()]), &[]);
@@ -307,7 +311,7 @@
     // still wait, queued requests must be served, and their wait must stay far below the deadline.
     let plan = plan(vec![class("all", 100, 2.0)], 65);
     let run = run(&plan, &[]);
-    let figures = RunFigures::of_run(&plan, &run);
+    let figures = RunMetrics::from_run(&plan, &run);
     assert!(figures.goodput >= 0.95, "{figures:?}");
     assert!(figures.missed_waiting <= 0.01, "{figures:?}");
     assert!(figures.wait_p50_ms <= 200.0, "{figures:?}");
@@ -323,7 +327,7 @@
     };
     let apart = Duration::from_millis(300);
     let plan = plan(vec![class("all", 100, 0.35)], 40);
-    let change = (SECOND * 10, WorldChange::Publish(drained, apart));
+    let change = (SECOND * 10, ClusterChange::Publish(drained, apart));
     let run = run(&plan, &[change]);
     let known = run.begin + SECOND * 10 + apart * 7;
     // The longest trip to an upstream after the last decision under the old configuration.
@@ -332,8 +336,12 @@
         let late: Vec<&Instant> = upstream.arrivals.iter().filter(|at| **at > last).collect();
         assert!(late.is_empty(), "upstream {}: {}", upstream.id, late.len());
     }
-    let jobs = requests_between(&run, 0, SECOND * 5, SECOND * 40);
-    assert!(success_rate(&jobs) >= 0.99, "{}", success_rate(&jobs));
+    let requests = requests_between(&run, 0, SECOND * 5, SECOND * 40);
+    assert!(
+        success_rate(&requests) >= 0.99,
+        "{}",
+        success_rate(&requests)
+    );
 }
 
 #[test]
@@ -351,12 +359,12 @@
         ..FleetState::default()
     };
     let mut changes = vec![
-        (SECOND * 10, WorldChange::Publish(gone, Duration::ZERO)),
-        (SECOND * 20, WorldChange::Publish(back, Duration::ZERO)),
+        (SECOND * 10, ClusterChange::Publish(gone, Duration::ZERO)),
+        (SECOND * 20, ClusterChange::Publish(back, Duration::ZERO)),
     ];
     for id in lost {
-        changes.push((SECOND * 19, WorldChange::Pace(id, 4.0)));
-        changes.push((SECOND * 26, WorldChange::Pace(id, 1.0)));
+        changes.push((SECOND * 19, ClusterChange::ServiceTimeFactor(id, 4.0)));
+        changes.push((SECOND * 26, ClusterChange::ServiceTimeFactor(id, 1.0)));
     }
     let plan = plan(vec![class("all", 100, 0.5)], 45);
     let run = run(&plan, &changes);
@@ -371,32 +379,36 @@
     // Every upstream sheds everything for three seconds. Refused callers retry every 100 ms, or
     // when they are told to. The retries of the policy must stay within a tenth of the requests,
     // and the overload must end with its cause.
-    for habit in [
-        RefusedHabit::Insist(Duration::from_millis(100), 50),
-        RefusedHabit::ComeBack(50),
+    for retry_behavior in [
+        RetryBehavior::FixedDelay(Duration::from_millis(100), 50),
+        RetryBehavior::RetryAfter(50),
     ] {
         let plan = ClusterPlan {
-            habit,
+            retry_behavior,
             ..plan(vec![class("all", 100, 0.7)], 40)
         };
         let mut changes = Vec::new();
         for id in 0..plan.upstreams {
-            changes.push((SECOND * 10, WorldChange::Slots(id, 0)));
-            changes.push((SECOND * 13, WorldChange::Slots(id, plan.slots)));
+            changes.push((SECOND * 10, ClusterChange::Slots(id, 0)));
+            changes.push((SECOND * 13, ClusterChange::Slots(id, plan.slots)));
         }
         let run = run(&plan, &changes);
-        let jobs = run.jobs.len() as f64;
-        let retries: u32 = run.jobs.iter().map(|job| job.sends.saturating_sub(1)).sum();
+        let requests = run.requests.len() as f64;
+        let retries: u32 = run
+            .requests
+            .iter()
+            .map(|job| job.sends.saturating_sub(1))
+            .sum();
         assert!(
-            f64::from(retries) <= 0.1 * jobs + 80.0,
-            "{habit:?}: {retries}"
+            f64::from(retries) <= 0.1 * requests + 80.0,
+            "{retry_behavior:?}: {retries}"
         );
         // The work of three seconds at 70 % load takes seven seconds of the remaining 30 % to
         // serve.
         let after = requests_between(&run, 0, SECOND * 22, SECOND * 40);
         assert!(
             success_rate(&after) >= 0.99,
-            "{habit:?}: {}",
+            "{retry_behavior:?}: {}",
             success_rate(&after)
         );
     }
@@ -412,7 +424,7 @@
             loss: 0.02,
             ..plan(vec![class("all", 100, 0.6)], 25)
         };
-        let death = (SECOND * 10, WorldChange::Kill(host, SECOND * 3));
+        let death = (SECOND * 10, ClusterChange::Kill(host, SECOND * 3));
         let run = run(&plan, &[death]);
         let during = requests_between(&run, 0, SECOND * 10 + TICK, SECOND * 13);
         assert!(
@@ -435,8 +447,9 @@
 fn test_same_seed_same_outcome() {
     let plan = plan(vec![class("all", 20, 1.2)], 15);
     let outcome = |run: ClusterRun| -> Vec<(CallerResult, Duration)> {
-        let jobs = run.jobs.iter();
-        jobs.map(|job| (job.result, job.ended - run.begin))
+        let requests = run.requests.iter();
+        requests
+            .map(|job| (job.result, job.ended - run.begin))
             .collect()
     };
     assert_eq!(outcome(run(&plan, &[])), outcome(run(&plan, &[])));
--- a/lib/tests/test_reader_rank.rs
+++ b/lib/tests/test_reader_rank.rs
@@ -1,11 +1,11 @@
-//! Who reads the platform, and who is linked to whom.
+//! Tests of the ranking of readers, and of the links between hosts.
 
 use std::collections::BTreeSet;
 
 use lagoonproxy::config_snapshot::HostEntry;
 use lagoonproxy::ids::HostId;
-use lagoonproxy::reader_rank::NEAR_LINKS;
 use lagoonproxy::reader_rank::READERS_PER_ZONE;
+use lagoonproxy::reader_rank::SAME_ZONE_LINKS;
 use lagoonproxy::reader_rank::link_rankings;
 use lagoonproxy::reader_rank::reader_ranking;
 
@@ -21,8 +21,8 @@
     ranking.into_iter().take(READERS_PER_ZONE).collect()
 }
 
-/// A host joins, and another host's list does not show it yet. The two must not choose wholly
-/// different readers, or the platform's calls would grow with each change of the list.
+/// Guards against a change of most readers when a host joins and the lists of other hosts do not
+/// show it yet: the calls on the platform would grow with each change of the list.
 #[test]
 fn test_ranking_one_host_more_changes_one_reader_at_most() {
     for count in 3..100 {
@@ -42,7 +42,7 @@
     assert!(!ranking.contains(&4) && !ranking.contains(&5));
 }
 
-/// Hosts that a change cannot reach because the links fall into two islands.
+/// Guards against links that split a zone into parts, so that a change does not reach all hosts.
 #[test]
 fn test_links_connect_every_host_of_a_zone() {
     for count in [2, 8, 64, 424] {
@@ -50,15 +50,15 @@
         let mut peers = vec![BTreeSet::new(); count as usize];
         for host in 0..count {
             let (near, _far) = link_rankings(host, "zig-a", &list);
-            for peer in near.into_iter().take(NEAR_LINKS) {
+            for peer in near.into_iter().take(SAME_ZONE_LINKS) {
                 peers[host as usize].insert(peer);
                 peers[peer as usize].insert(host);
             }
         }
         let mut reached = BTreeSet::from([0]);
-        let mut edge = vec![0];
-        while let Some(host) = edge.pop() {
-            edge.extend(
+        let mut frontier = vec![0];
+        while let Some(host) = frontier.pop() {
+            frontier.extend(
                 peers[host as usize]
                     .iter()
                     .filter(|peer| reached.insert(**peer)),
--- a/lib/tests/test_result_code.rs
+++ b/lib/tests/test_result_code.rs
@@ -1,4 +1,4 @@
-//! Tests of the numbered results.
+//! Tests of the result codes.
 
 use lagoonproxy::result_code::ResultCode;
 
--- a/lib/tests/test_snapshot_compiler.rs
+++ b/lib/tests/test_snapshot_compiler.rs
@@ -1,4 +1,4 @@
-//! The compilation of changes against the compilation of everything.
+//! Tests that compiling changes gives the same snapshot as compiling everything.
 
 use std::sync::Arc;
 
@@ -32,7 +32,8 @@
     store.complete(version);
 }
 
-/// A change: upstream `upstream` gets label `label` in shard `shard`, or is gone.
+/// A change: an upstream gets a label in a shard, or is removed if there is no such shard, and the
+/// services get other addresses.
 #[derive(Clone, Debug)]
 struct RandomChange {
     upstream: u32,
@@ -53,9 +54,8 @@
 }
 
 proptest! {
-    /// Upstreams move between shards and services, and services exchange addresses. If the
-    /// compilation of changes forgot one match, a service would go on using an upstream that was
-    /// relabelled to another.
+    /// Guards against a stale match: upstreams move between shards and services, and services
+    /// exchange addresses. A service must not keep an upstream that was relabelled for another.
     #[test]
     fn test_compile_changes_equals_compile_all(
         changes in prop::collection::vec(random_change(), 1..40),
@@ -88,12 +88,12 @@
     }
 }
 
-/// One case of a published state that must be refused whole.
+/// A published state that has to be rejected whole.
 struct RefusedCase {
     name: &'static str,
     key: &'static str,
     json: Value,
-    named: &'static str,
+    expected_text: &'static str,
 }
 
 fn refused_cases() -> Vec<RefusedCase> {
@@ -107,49 +107,50 @@
             name: "address of two services",
             key: SERVICES,
             json: twice,
-            named: "service-2",
+            expected_text: "service-2",
         },
         RefusedCase {
             name: "selector that cannot be parsed",
             key: SERVICES,
             json: json!([service(1, 1, "service ! ledger")]),
-            named: "service-1: selector",
+            expected_text: "service-1: selector",
         },
         RefusedCase {
             name: "address of two upstreams",
             key: SHARDS[1],
             json: json!([taken]),
-            named: "ledger-0",
+            expected_text: "ledger-0",
         },
         RefusedCase {
             name: "upstream without slots",
             key: SHARDS[1],
             json: json!([idle]),
-            named: "slots",
+            expected_text: "slots",
         },
         RefusedCase {
             name: "not a list",
             key: SERVICES,
             json: json!({"id": 1}),
-            named: SERVICES,
+            expected_text: SERVICES,
         },
         RefusedCase {
             name: "unknown field",
             key: SHARDS[1],
             json: json!([{"id": 1, "colour": "red"}]),
-            named: SHARDS[1],
+            expected_text: SHARDS[1],
         },
         RefusedCase {
             name: "number under two keys",
             key: SHARDS[1],
             json: json!(ledger_config(1, 1).upstreams),
-            named: "number 0",
+            expected_text: "number 0",
         },
     ]
 }
 
-/// An operator publishes a faulty value beside good ones, and mends it. Taking only the good keys
-/// would put a state in force that nobody wrote; going on after the fault must work.
+/// Guards against putting a state in force that nobody published: an operator publishes a faulty
+/// value beside valid ones, then corrects it. The fault must reject the whole state, and the
+/// correction must be accepted.
 #[test]
 fn test_compile_refuses_faults_whole_and_recovers() {
     for case in refused_cases() {
@@ -170,7 +171,7 @@
         let good: Arc<ConfigSnapshot> = compiler.compile(&store, 2).unwrap();
         publish(&mut store, case.key, 3, &case.json);
         let fault = compiler.compile(&store, 3).unwrap_err().to_string();
-        assert!(fault.contains(case.named), "{}: {fault}", case.name);
+        assert!(fault.contains(case.expected_text), "{}: {fault}", case.name);
         let mended = if case.key == SERVICES {
             json!([service(1, 1, "service=ledger")])
         } else {
--- a/lib/tests/test_wire_frame.rs
+++ b/lib/tests/test_wire_frame.rs
@@ -1,4 +1,4 @@
-//! Tests of the codec: what is sent arrives, what is malformed is dropped by reason.
+//! Tests of the datagram codec: round trips, and the reasons for which datagrams are dropped.
 
 use bytes::Bytes;
 use lagoonproxy::result_code::ResultCode;
@@ -13,9 +13,9 @@
 use lagoonproxy::wire_frame::decode_peer;
 use lagoonproxy::wire_frame::decode_upstream;
 use lagoonproxy::wire_frame::encode_caller;
-use lagoonproxy::wire_frame::encode_caller_in;
+use lagoonproxy::wire_frame::encode_caller_into;
 use lagoonproxy::wire_frame::encode_peer;
-use lagoonproxy::wire_frame::encode_peer_in;
+use lagoonproxy::wire_frame::encode_peer_into;
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::proptest;
@@ -128,7 +128,7 @@
     let mut buffer = [0xff; FRAME_BUFFER_LEN];
     for body in [CallerBody::Request(transfer(1)), CallerBody::Open] {
         let frame = ledger_frame(body);
-        let len = encode_caller_in(&frame, &mut buffer).unwrap();
+        let len = encode_caller_into(&frame, &mut buffer).unwrap();
         assert_eq!(buffer[..len], encode_caller(&frame).unwrap());
         let frame = PeerFrame {
             sender: 1,
@@ -140,12 +140,12 @@
                 frame,
             },
         };
-        let len = encode_peer_in(&frame, &key, &mut buffer).unwrap();
+        let len = encode_peer_into(&frame, &key, &mut buffer).unwrap();
         assert_eq!(buffer[..len], encode_peer(&frame, &key).unwrap());
     }
     let mut request = transfer(1);
     request.payload = vec![0; MAX_DATAGRAM].into();
     let frame = ledger_frame(CallerBody::Request(request));
-    let refused = encode_caller_in(&frame, &mut buffer);
+    let refused = encode_caller_into(&frame, &mut buffer);
     assert_eq!(refused, Err(ResultCode::FrameOversized));
 }
