--- a/lib/tests/world.rs
+++ b/lib/tests/world.rs
@@ -1,4 +1,4 @@
-//! Small builders that the tests share.
+//! Builders that the tests share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 use lagoonproxy::wire_frame::CallerFrame;
 use lagoonproxy::wire_frame::RequestBody;
 
-/// How long [`lone_core`] has been up: longer than a new host stays on standby.
-const LONE_START: Duration = Duration::from_secs(10);
+/// Uptime of [`lone_core`], longer than a new host stays on standby.
+const LONE_UPTIME: Duration = Duration::from_secs(10);
 
 /// Address of the service that the tests call.
 pub fn ledger_address() -> ServiceAddress {
@@ -44,7 +44,7 @@
     ([127, 0, 1, 1], 5_000 + id as u16).into()
 }
 
-/// One service on `upstreams` upstreams.
+/// A configuration of one service with `upstreams` upstreams.
 pub fn ledger_config(version: u64, upstreams: u32) -> PublishedConfig {
     PublishedConfig {
         version,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A view in which all of `hosts` are alive.
+/// A host list in which all of `hosts` are alive.
 pub fn host_view(hosts: &[HostId]) -> Arc<HostView> {
     let entry = |id: &HostId| HostEntry {
         id: *id,
@@ -90,17 +90,17 @@
     })
 }
 
-/// A host that has just started, without configuration.
+/// A host without configuration that starts now.
 pub fn host_core(host: HostId) -> HostCore {
     host_core_at(Instant::now(), host)
 }
 
-/// A host that starts at `now`, without configuration.
+/// A host without configuration that starts at `now`.
 pub fn host_core_at(now: Instant, host: HostId) -> HostCore {
     host_core_with(now, host, Box::<LeastBusyPolicy>::default())
 }
 
-/// The same with a load policy of the test's own.
+/// A host without configuration that starts at `now`, with the given load policy.
 pub fn host_core_with(now: Instant, host: HostId, policy: Box<dyn LoadPolicy>) -> HostCore {
     let settings = CoreSettings {
         host,
@@ -113,14 +113,17 @@
     HostCore::new(settings, policy)
 }
 
-/// The only host of its cell, at `now` in a position to take on any request.
+/// The only host of its ownership group, which holds its lease at `now`.
 pub fn lone_core(now: Instant, upstreams: u32) -> HostCore {
     lone_core_with(now, upstreams, Box::<LeastBusyPolicy>::default())
 }
 
-/// The same with a load policy of the test's own.
+/// The only host of its ownership group, which holds its lease at `now`, with the given load
+/// policy.
 pub fn lone_core_with(now: Instant, upstreams: u32, policy: Box<dyn LoadPolicy>) -> HostCore {
-    let mut time = now.checked_sub(LONE_START).expect("a machine that is up");
+    let mut time = now
+        .checked_sub(LONE_UPTIME)
+        .expect("the machine has been up long enough");
     let mut core = host_core_with(time, 1, policy);
     let config = ledger_config(1, upstreams).compile().unwrap();
     let mut actions = Vec::new();
@@ -142,7 +145,7 @@
     }
 }
 
-/// A request that may not run twice, with a second to finish.
+/// A non-idempotent request with a timeout of one second.
 pub fn transfer(request: u64) -> RequestBody {
     RequestBody {
         request,
@@ -154,7 +157,7 @@
     }
 }
 
-/// The digest of some flow; different numbers give independent ones.
+/// The digest of a flow; different flow numbers give independent digests.
 pub fn flow_digest(flow: u64) -> FlowDigest {
     FlowHasher::new([7; 16]).digest(ledger_address(), caller_address(), flow)
 }
--- a/packet/src/admission/admission_pressure.rs
+++ b/packet/src/admission/admission_pressure.rs
@@ -20,7 +20,7 @@
 
 /// Number of transmissions of a SYN that are counted separately, because each has a different
 /// decrease of pressure.
-const COUNTED_COPIES: usize = 3;
+const COUNTED_TRANSMISSIONS: usize = 3;
 
 /// Length of one counting interval: the interval between two load digests.
 const INTERVAL: Duration = Duration::from_millis(250);
@@ -36,8 +36,8 @@
 /// host with few flows knows how they are distributed over the classes.
 const DECAY_PER_INTERVAL: f64 = 1.0 / 16.0;
 
-/// Flows by class and by the copy number that decreases the pressure.
-type SynCounts = [[f64; COUNTED_COPIES]; MAX_CLASSES];
+/// Flows by class and by the transmission number that decreases the pressure.
+type SynCounts = [[f64; COUNTED_TRANSMISSIONS]; MAX_CLASSES];
 
 /// Bisection steps over the range of pressures. They leave an uncertainty of 1.
 const BISECTIONS: u32 = 14;
@@ -64,13 +64,13 @@
 }
 
 impl AdmissionPressure {
-    /// Counts a SYN of class `rank` with copy number `copy`. Called whether or not the
-    /// service is contended.
-    pub fn record(&mut self, now: Instant, rank: ClassRank, copy: u32) {
+    /// Counts a SYN of class `rank` with number `transmission`. Called whether or not the service
+    /// is contended.
+    pub fn record(&mut self, now: Instant, rank: ClassRank, transmission: u32) {
         self.advance(now);
         let class = usize::from(rank).min(MAX_CLASSES - 1);
-        let copy = (copy as usize).min(COUNTED_COPIES - 1);
-        self.intervals[0].counts[class][copy] += 1.0;
+        let transmission = (transmission as usize).min(COUNTED_TRANSMISSIONS - 1);
+        self.intervals[0].counts[class][transmission] += 1.0;
     }
 
     /// Resets the pressure, since the service is no longer contended.
@@ -151,8 +151,9 @@
             let mut sum = 0.0;
             for (rank, counts) in expected.iter().enumerate() {
                 let ramp = ramps(rank as ClassRank);
-                for (copy, count) in counts.iter().enumerate() {
-                    let pressure = pressure.saturating_sub(config.copy_decrease * copy as u32);
+                for (transmission, count) in counts.iter().enumerate() {
+                    let pressure =
+                        pressure.saturating_sub(config.transmission_decrease * transmission as u32);
                     sum += count * f64::from(ramp.share(pressure, config.minimum_share));
                 }
             }
@@ -162,7 +163,7 @@
         let mean_admitted = admitted / window.len() as f64;
         let budget = mean_admitted / growth * rate_factor(service_pressure, config);
         let ends = (0..MAX_CLASSES).map(|rank| ramps(rank as ClassRank).end);
-        let max_decrease = config.copy_decrease * (COUNTED_COPIES as u32 - 1);
+        let max_decrease = config.transmission_decrease * (COUNTED_TRANSMISSIONS as u32 - 1);
         let (mut low, mut high) = (0, ends.max().unwrap_or_default() + max_decrease);
         for _bisection in 0..BISECTIONS {
             let middle = u32::midpoint(low, high);
--- a/packet/src/admission/admission_state.rs
+++ b/packet/src/admission/admission_state.rs
@@ -11,7 +11,7 @@
 use crate::admission::class_admission::SynDecision;
 use crate::admission::class_admission::SynQuery;
 use crate::admission::class_admission::decide_syn;
-use crate::admission::class_admission::effective_copy;
+use crate::admission::class_admission::effective_transmission;
 use crate::admission::class_demand::ClassDemand;
 use crate::admission::deferred_syns::DeferredSyns;
 use crate::flows::flow_table::FlowKey;
@@ -31,17 +31,17 @@
     /// Service that the SYN is addressed to.
     pub service: ServiceIndex,
     /// Load of the service.
-    pub room: ContentionState,
+    pub contention: ContentionState,
     /// Class of the request that the flow carries.
     pub class: RequestClass,
-    /// Copy number: 0 for the first SYN, n for retransmission n.
-    pub copy: u32,
+    /// Transmission number: 0 for the first SYN, n for retransmission n.
+    pub transmission: u32,
     /// Whether this host has forwarded an earlier SYN of the flow to an upstream.
     pub placed_before: bool,
     /// Whether an upstream is known to have a free slot.
     pub has_free_slot: bool,
     /// Latency objective of the route, counted from the first SYN.
-    pub target: Option<Duration>,
+    pub objective: Option<Duration>,
     /// Timeout of the route, counted from the first SYN.
     pub timeout: Option<Duration>,
 }
@@ -91,34 +91,34 @@
         let (service, rank) = (syn.service, syn.class.rank);
         let caller = *syn.key.caller.ip();
         self.demand.record(now, service, rank);
-        if syn.copy == 0 {
+        if syn.transmission == 0 {
             self.callers.record_flow(now, service, rank, caller);
         }
         let demand = self
             .demand
             .rank(now, service, rank, self.config.demand_timeout);
         let query = SynQuery {
-            room: syn.room,
-            pressure: self.derived_pressure(now, service, syn.room),
+            contention: syn.contention,
+            pressure: self.derived_pressure(now, service, syn.contention),
             class: syn.class,
             demand_rank: demand.rank,
             classes_with_demand: demand.classes,
-            copy: syn.copy,
+            transmission: syn.transmission,
             flow_hash: syn.flow_hash,
             placed_before: syn.placed_before,
-            known_unopened: self.deferred.is_unopened(now, &syn.key, syn.copy),
+            known_unopened: self.deferred.is_unopened(now, &syn.key, syn.transmission),
             has_free_slot: syn.has_free_slot,
             is_heavy_caller: self.callers.is_heavy(service, rank, caller),
-            target: syn.target,
+            objective: syn.objective,
             timeout: syn.timeout,
         };
         let decision = decide_syn(&self.config, &query);
         if !syn.placed_before {
-            let copy = effective_copy(&query);
-            self.pressure(service).record(now, rank, copy);
+            let transmission = effective_transmission(&query);
+            self.pressure(service).record(now, rank, transmission);
         }
         match decision {
-            SynDecision::Defer(_) => self.deferred.record(now, syn.key, syn.copy),
+            SynDecision::Defer(_) => self.deferred.record(now, syn.key, syn.transmission),
             SynDecision::Admit | SynDecision::Refuse(_) => self.deferred.remove(&syn.key),
         }
         if decision == SynDecision::Admit && !syn.placed_before {
@@ -128,8 +128,8 @@
     }
 
     /// Whether a flow cannot be open because this host deferred every SYN of it before this one.
-    pub fn is_unopened(&self, now: Instant, key: &FlowKey, copy: u32) -> bool {
-        self.deferred.is_unopened(now, key, copy)
+    pub fn is_unopened(&self, now: Instant, key: &FlowKey, transmission: u32) -> bool {
+        self.deferred.is_unopened(now, key, transmission)
     }
 
     /// Records a dispatcher's decision on a SYN.
@@ -137,11 +137,11 @@
         &mut self,
         now: Instant,
         key: FlowKey,
-        copy: u32,
+        transmission: u32,
         outcome: SynOutcome,
     ) {
         match outcome {
-            SynOutcome::Deferred => self.deferred.record(now, key, copy),
+            SynOutcome::Deferred => self.deferred.record(now, key, transmission),
             SynOutcome::Placed | SynOutcome::Refused => self.deferred.remove(&key),
         }
     }
@@ -159,12 +159,12 @@
         &mut self,
         now: Instant,
         service: ServiceIndex,
-        room: ContentionState,
+        contention: ContentionState,
     ) -> u32 {
         let config = self.config;
         let mut pressure = *self.pressure(service);
         let demand = &self.demand;
-        let derived = pressure.derive(now, room.pressure, &config, |rank| {
+        let derived = pressure.derive(now, contention.pressure, &config, |rank| {
             let demand = demand.rank(now, service, rank, config.demand_timeout);
             config.ramp(demand.rank, demand.classes)
         });
@@ -180,7 +180,7 @@
 
     /// Handles a stall of this process, during which other hosts may have opened the deferred
     /// flows.
-    pub fn restart(&mut self, now: Instant) {
+    pub fn handle_stall(&mut self, now: Instant) {
         self.deferred.discard_after_stall(now);
     }
 
--- a/packet/src/admission/class_admission.rs
+++ b/packet/src/admission/class_admission.rs
@@ -65,8 +65,9 @@
     pub prior_flows: u32,
     /// Time after its last new flow or request during which a class has demand.
     pub demand_timeout: Duration,
-    /// Decrease of pressure per copy number, so that callers that have waited are admitted first.
-    pub copy_decrease: u32,
+    /// Decrease of pressure per transmission number, so that callers that have waited are admitted
+    /// first.
+    pub transmission_decrease: u32,
     /// Increase of pressure for a caller that opens far more flows than others of its class.
     pub heavy_caller_increase: u32,
     /// New flows of contended services per hedge to another upstream.
@@ -96,7 +97,7 @@
             maximum_fall: 2,
             prior_flows: 10,
             demand_timeout: Duration::from_secs(3),
-            copy_decrease: 750,
+            transmission_decrease: 750,
             heavy_caller_increase: 1500,
             flows_per_hedge: 10,
             hedge_burst: 10,
@@ -108,7 +109,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SynQuery {
     /// Load of the service.
-    pub room: ContentionState,
+    pub contention: ContentionState,
     /// Admission pressure of the service; see [`crate::admission::admission_pressure`].
     pub pressure: u32,
     /// Class of the request that the flow carries.
@@ -118,8 +119,8 @@
     pub demand_rank: ClassRank,
     /// Number of classes of the service that have demand, including this one; at least 1.
     pub classes_with_demand: u8,
-    /// Copy number: 0 for the first SYN, n for retransmission n.
-    pub copy: u32,
+    /// Transmission number: 0 for the first SYN, n for retransmission n.
+    pub transmission: u32,
     /// Hash of the flow; the same on every host.
     pub flow_hash: u64,
     /// Whether this host has forwarded an earlier SYN of the flow to an upstream.
@@ -132,7 +133,7 @@
     /// Whether the caller opens far more flows than others of its class.
     pub is_heavy_caller: bool,
     /// Latency objective of the route, counted from the first SYN.
-    pub target: Option<Duration>,
+    pub objective: Option<Duration>,
     /// Timeout of the route, counted from the first SYN.
     pub timeout: Option<Duration>,
 }
@@ -186,7 +187,7 @@
     // is too late.
     let expired = query
         .timeout
-        .is_some_and(|timeout| transmission_offset(query.copy) >= timeout);
+        .is_some_and(|timeout| transmission_offset(query.transmission) >= timeout);
     if expired {
         return refuse_unopened(query, ResultCode::DeadlinePassed);
     }
@@ -196,7 +197,7 @@
     {
         return SynDecision::Admit;
     }
-    if is_next_copy_in_time(query) {
+    if is_next_transmission_in_time(query) {
         return SynDecision::Defer(ResultCode::QueueFull);
     }
     let code = match query.is_heavy_caller && is_in_admitted_share(config, query, false) {
@@ -216,11 +217,13 @@
 
 /// Whether the sample value of a SYN falls within the admitted share of its class.
 fn is_in_admitted_share(config: &ClassAdmissionConfig, query: &SynQuery, is_heavy: bool) -> bool {
-    syn_sample(query.flow_hash, query.copy) < admitted_share(config, query, is_heavy)
+    syn_sample(query.flow_hash, query.transmission) < admitted_share(config, query, is_heavy)
 }
 
 fn admitted_share(config: &ClassAdmissionConfig, query: &SynQuery, is_heavy: bool) -> u32 {
-    let decrease = config.copy_decrease.saturating_mul(effective_copy(query));
+    let decrease = config
+        .transmission_decrease
+        .saturating_mul(effective_transmission(query));
     let increase = if is_heavy {
         config.heavy_caller_increase
     } else {
@@ -232,23 +235,23 @@
     ramp.share(pressure, config.minimum_share)
 }
 
-/// Returns the copy number by which the pressure decreases: 0 for a SYN that has already
+/// Returns the transmission number by which the pressure decreases: 0 for a SYN that has already
 /// missed its latency objective.
-pub fn effective_copy(query: &SynQuery) -> u32 {
-    match is_within(transmission_offset(query.copy), query.target) {
-        true => query.copy,
+pub fn effective_transmission(query: &SynQuery) -> u32 {
+    match is_within(transmission_offset(query.transmission), query.objective) {
+        true => query.transmission,
         false => 0,
     }
 }
 
 /// Whether the caller's next retransmission arrives early enough for a response, if this SYN is
 /// dropped.
-fn is_next_copy_in_time(query: &SynQuery) -> bool {
-    let Some(next) = next_transmission_offset(query.copy) else {
+fn is_next_transmission_in_time(query: &SynQuery) -> bool {
+    let Some(next) = next_transmission_offset(query.transmission) else {
         return false;
     };
-    let before_timeout = query.copy == 0 && is_within(next, query.timeout);
-    is_within(next, query.target) || before_timeout
+    let before_timeout = query.transmission == 0 && is_within(next, query.timeout);
+    is_within(next, query.objective) || before_timeout
 }
 
 fn is_within(offset: Duration, limit: Option<Duration>) -> bool {
@@ -257,8 +260,8 @@
 
 /// Returns the pseudo-random sample value of a SYN, below [`FULL_SHARE`]. It is the same on every
 /// host.
-pub fn syn_sample(flow_hash: u64, copy: u32) -> u32 {
-    let hash = rendezvous_weight(flow_hash, u64::from(copy));
+pub fn syn_sample(flow_hash: u64, transmission: u32) -> u32 {
+    let hash = rendezvous_weight(flow_hash, u64::from(transmission));
     let sample = (u128::from(hash) * u128::from(FULL_SHARE)) >> u64::BITS;
     sample as u32
 }
--- a/packet/src/admission/deferred_syns.rs
+++ b/packet/src/admission/deferred_syns.rs
@@ -19,9 +19,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct DeferredFlow {
-    /// Copy number of the first SYN that this host has not deferred. It has deferred all
+    /// Transmission number of the first SYN that this host has not deferred. It has deferred all
     /// earlier ones.
-    next_copy: u32,
+    next_transmission: u32,
     expires_at: Instant,
 }
 
@@ -39,25 +39,25 @@
 impl DeferredSyns {
     /// Whether this host deferred every SYN before this one, so that the flow is not open. True for
     /// the first SYN, except after a stall.
-    pub fn is_unopened(&self, now: Instant, key: &FlowKey, copy: u32) -> bool {
+    pub fn is_unopened(&self, now: Instant, key: &FlowKey, transmission: u32) -> bool {
         if self.unknown_until.is_some_and(|until| now < until) {
             return false;
         }
         let flow = self.flows.get(key);
         let flow = flow.filter(|flow| now < flow.expires_at);
-        copy == 0 || flow.is_some_and(|flow| flow.next_copy == copy)
+        transmission == 0 || flow.is_some_and(|flow| flow.next_transmission == transmission)
     }
 
     /// Records a deferred SYN. A flow is not tracked if this host did not defer an earlier SYN of
     /// it.
-    pub fn record(&mut self, now: Instant, key: FlowKey, copy: u32) {
-        if !self.is_unopened(now, &key, copy) {
+    pub fn record(&mut self, now: Instant, key: FlowKey, transmission: u32) {
+        if !self.is_unopened(now, &key, transmission) {
             self.flows.remove(&key);
             return;
         }
         if let Some(flow) = self.flows.get_mut(&key) {
-            flow.next_copy = copy + 1;
-            if copy == 0 {
+            flow.next_transmission = transmission + 1;
+            if transmission == 0 {
                 flow.expires_at = now + DEFERRED_LIFETIME;
             }
             return;
@@ -69,7 +69,7 @@
             self.flows.reserve(MAX_DEFERRED);
         }
         let flow = DeferredFlow {
-            next_copy: copy + 1,
+            next_transmission: transmission + 1,
             expires_at: now + DEFERRED_LIFETIME,
         };
         self.flows.insert(key, flow);
--- a/packet/src/admission/syn_deferral.rs
+++ b/packet/src/admission/syn_deferral.rs
@@ -8,7 +8,7 @@
 //! A retransmission that has missed its objective is therefore dropped while no upstream has a free
 //! slot. Its caller retransmits 400 ms later or opens another flow. The first SYN of a flow is
 //! never deferred, nor is a SYN on a route without an objective, nor a SYN of a flow that this host
-//! has already placed, since that caller waits because an upstream did not answer.
+//! has already placed, since that caller waits because an upstream did not respond.
 
 use std::time::Duration;
 
@@ -18,10 +18,10 @@
 /// The inputs of a deferral decision on a SYN.
 #[derive(Clone, Copy, Debug)]
 pub struct SynDeferralQuery {
-    /// Copy number: 0 for the first SYN, n for retransmission n.
-    pub copy: u32,
+    /// Transmission number: 0 for the first SYN, n for retransmission n.
+    pub transmission: u32,
     /// Latency objective of the route, counted from the first SYN.
-    pub target: Option<Duration>,
+    pub objective: Option<Duration>,
     /// Whether this host has forwarded an earlier SYN of the flow to an upstream.
     pub placed_before: bool,
     /// Requests in progress at the selected upstream, as far as known.
@@ -32,8 +32,8 @@
 
 /// Whether the SYN is dropped, so that its caller retransmits it.
 pub fn is_deferred(config: &AdmissionConfig, query: &SynDeferralQuery) -> bool {
-    let offset = transmission_offset(query.copy);
-    let late = query.target.is_some_and(|target| offset >= target);
+    let offset = transmission_offset(query.transmission);
+    let late = query.objective.is_some_and(|objective| offset >= objective);
     let busy = query.requests >= query.slots * config.busy_requests;
-    query.copy > 0 && late && busy && !query.placed_before
+    query.transmission > 0 && late && busy && !query.placed_before
 }
--- a/packet/src/admission/syn_retransmission.rs
+++ b/packet/src/admission/syn_retransmission.rs
@@ -1,6 +1,6 @@
 //! The retransmission schedule of SYNs.
 //!
-//! The copy number of a SYN is 0 for the first SYN of a flow and n for retransmission n.
+//! The transmission number of a SYN is 0 for the first SYN of a flow and n for retransmission n.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
     Duration::from_millis(600),
 ];
 
-/// Returns the time from the first SYN of a flow to the transmission with this copy number. Copy
-/// numbers beyond the last have the offset of the last.
-pub fn transmission_offset(copy: u32) -> Duration {
+/// Returns the time from the first SYN of a flow to the transmission with this number. Numbers
+/// beyond the last have the offset of the last.
+pub fn transmission_offset(transmission: u32) -> Duration {
     let last = TRANSMISSION_OFFSETS.len() - 1;
-    TRANSMISSION_OFFSETS[(copy as usize).min(last)]
+    TRANSMISSION_OFFSETS[(transmission as usize).min(last)]
 }
 
 /// Returns the time from the first SYN of a flow to the transmission after this one; `None` after
 /// the last.
-pub fn next_transmission_offset(copy: u32) -> Option<Duration> {
-    TRANSMISSION_OFFSETS.get(copy as usize + 1).copied()
+pub fn next_transmission_offset(transmission: u32) -> Option<Duration> {
+    TRANSMISSION_OFFSETS.get(transmission as usize + 1).copied()
 }
--- a/packet/src/core_dispatch.rs
+++ b/packet/src/core_dispatch.rs
@@ -43,7 +43,7 @@
 
 /// Time without a request event of a service after which a dispatcher has to learn its requests
 /// again.
-const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Divides the latency objective of a route: a SYN waits for free capacity no longer than the
 /// quotient.
@@ -56,7 +56,7 @@
     pub(crate) client: DispatchClient,
     pub(crate) ledger: RequestLedger,
     /// For each service, the time span in which this host has received its request events.
-    reports: Vec<Option<ReportSpan>>,
+    event_spans: Vec<Option<EventSpan>>,
     /// Whether the packet that is being handled was parked before.
     pub(crate) is_resumed: bool,
     /// The dispatcher of each service as of the last tick; `None` for services that are not
@@ -74,7 +74,7 @@
 
 /// The time span in which request events of a service have arrived without interruption.
 #[derive(Clone, Copy, Debug)]
-struct ReportSpan {
+struct EventSpan {
     since: Instant,
     /// When the last event arrived.
     last: Instant,
@@ -117,21 +117,21 @@
     }
 
     /// Records that a request event of a service has arrived.
-    pub(crate) fn record_report(&mut self, now: Instant, service: ServiceIndex) {
+    pub(crate) fn record_event(&mut self, now: Instant, service: ServiceIndex) {
         let index = service as usize;
-        if self.reports.len() <= index {
-            self.reports.resize(index + 1, None);
+        if self.event_spans.len() <= index {
+            self.event_spans.resize(index + 1, None);
         }
-        let new_span = ReportSpan {
+        let new_span = EventSpan {
             since: now,
             last: now,
         };
-        self.reports[index].get_or_insert(new_span).last = now;
+        self.event_spans[index].get_or_insert(new_span).last = now;
     }
 
     /// Whether request events of a service have arrived for [`LEARNING_TIME`].
     pub(crate) fn has_learned_requests(&self, now: Instant, service: ServiceIndex) -> bool {
-        let span = self.reports.get(service as usize).copied().flatten();
+        let span = self.event_spans.get(service as usize).copied().flatten();
         span.is_some_and(|span| now.saturating_duration_since(span.since) >= LEARNING_TIME)
     }
 
@@ -139,8 +139,8 @@
         self.client.expire(now);
         self.ledger.expire_requests(now);
         let is_silent =
-            |span: &mut ReportSpan| now.saturating_duration_since(span.last) >= REPORT_TIMEOUT;
-        for span in &mut self.reports {
+            |span: &mut EventSpan| now.saturating_duration_since(span.last) >= EVENT_TIMEOUT;
+        for span in &mut self.event_spans {
             span.take_if(is_silent);
         }
     }
@@ -179,7 +179,7 @@
             return DispatchStep::Local;
         };
         let flow = flow_digest(syn.flow_hash);
-        match self.dispatch.client.take(now, flow) {
+        match self.dispatch.client.take_state(now, flow) {
             QueryState::Waiting => {
                 let code = ResultCode::QueueFull;
                 output.actions.push(PacketAction::Drop { code });
@@ -187,7 +187,7 @@
             }
             QueryState::Replied(verdict) => return self.follow_verdict(now, syn, verdict),
             QueryState::TimedOut(address) => {
-                if self.dispatch.choice.missed(now, address) {
+                if self.dispatch.choice.record_timeout(now, address) {
                     output.events.push(DecisionEvent::DispatcherSilent {
                         dispatcher: address,
                     });
@@ -209,7 +209,7 @@
             return self.follow_verdict(now, syn, verdict);
         }
         let key = FlowKey::of(syn.head);
-        if !self.dispatch.client.ask(now, key, flow, dispatcher) {
+        if !self.dispatch.client.start_query(now, key, flow, dispatcher) {
             return DispatchStep::Local;
         }
         self.dispatch.queries.push((dispatcher, query));
@@ -221,7 +221,7 @@
     pub fn resume_packet(&mut self, now: Instant, head: &PacketHead, output: &mut PacketOutput) {
         self.detect_stall(now);
         self.dispatch.is_resumed = true;
-        self.packet(now, head, output);
+        self.handle_packet(now, head, output);
         self.dispatch.is_resumed = false;
     }
 
@@ -229,7 +229,7 @@
     ///
     /// `before` is the upstream at which the flow had a request in progress before the packet.
     /// `answered` means that the packet acknowledged a response. If it also began the next request,
-    /// that one is reported as well: the dispatcher's record of the former request expires.
+    /// that one is reported as well: the dispatcher's record of the previous request expires.
     pub(crate) fn report_request(
         &mut self,
         now: Instant,
@@ -259,7 +259,7 @@
             Some(dispatcher) if dispatcher == self.peers.own => {
                 self.handle_request_events(now, &[event]);
             }
-            Some(dispatcher) => self.dispatch.client.report(dispatcher, event),
+            Some(dispatcher) => self.dispatch.client.queue_event(dispatcher, event),
             None => {}
         }
     }
@@ -302,9 +302,9 @@
         reply: DispatchReply,
     ) -> Option<(FlowKey, Instant)> {
         let (flow, verdict) = (reply.flow, reply.verdict);
-        let due = self.dispatch.client.reply(now, from, flow, verdict);
+        let due = self.dispatch.client.handle_reply(now, from, flow, verdict);
         if due.is_some() {
-            self.dispatch.choice.replied(from);
+            self.dispatch.choice.record_reply(from);
         }
         due
     }
@@ -366,9 +366,9 @@
     /// Returns how long a SYN may wait for free capacity: a part of the latency objective, so that
     /// the request can still be answered in time.
     fn hold_millis(&self, head: &PacketHead) -> HoldMillis {
-        let target = self.routes.target(head.service);
-        let hold = target.map_or(u128::from(MAX_HOLD_MS), |target| {
-            (target / HOLD_DIVISOR).as_millis()
+        let objective = self.routes.objective(head.service);
+        let hold = objective.map_or(u128::from(MAX_HOLD_MS), |objective| {
+            (objective / HOLD_DIVISOR).as_millis()
         });
         HoldMillis::try_from(hold).map_or(MAX_HOLD_MS, |hold| hold.min(MAX_HOLD_MS))
     }
@@ -376,8 +376,8 @@
     /// Whether the request can still be answered in time if the caller's next SYN is placed.
     fn awaits_next_syn(&self, head: &PacketHead) -> bool {
         let next = next_transmission_offset(head.ack);
-        let target = self.routes.target(head.service);
-        next.is_some_and(|age| target.is_none_or(|target| age < target))
+        let objective = self.routes.objective(head.service);
+        next.is_some_and(|age| objective.is_none_or(|objective| age < objective))
     }
 
     /// Adds the deferral or refusal of a SYN to the output, if the dispatcher has found no free
--- a/packet/src/core_dispatcher.rs
+++ b/packet/src/core_dispatcher.rs
@@ -53,11 +53,11 @@
                 RequestEvent::Began { flow, upstream } => {
                     if let Some(index) = self.upstreams.by_tag(upstream) {
                         let service = self.upstreams.get(index).service;
-                        self.dispatch.record_report(now, service);
-                        self.dispatch.ledger.begin(now, flow, index);
+                        self.dispatch.record_event(now, service);
+                        self.dispatch.ledger.record_request(now, flow, index);
                     }
                 }
-                RequestEvent::Ended { flow } => self.dispatch.ledger.end(flow),
+                RequestEvent::Ended { flow } => self.dispatch.ledger.record_end(flow),
             }
         }
         self.serve_waiting(now);
@@ -174,7 +174,9 @@
     ) -> DispatchVerdict {
         let demand = self.dispatch.demand(service);
         demand.recent.record(query.priority);
-        self.dispatch.ledger.place(now, query.flow, candidate.index);
+        self.dispatch
+            .ledger
+            .record_placement(now, query.flow, candidate.index);
         let tag = self.upstreams.get(candidate.index).tag;
         tag.map_or(DispatchVerdict::Unknown, DispatchVerdict::Place)
     }
--- a/packet/src/core_events.rs
+++ b/packet/src/core_events.rs
@@ -34,7 +34,7 @@
         output.events.push(DecisionEvent::UpdateRejected {
             whole: update.whole,
             offered: update.through,
-            through: self.view.through(),
+            through: self.snapshot.through(),
         });
     }
 
@@ -46,7 +46,7 @@
     ) {
         output.events.push(DecisionEvent::EraChanged {
             before,
-            through: self.view.through(),
+            through: self.snapshot.through(),
             whole,
         });
     }
@@ -64,7 +64,7 @@
         output.events.push(DecisionEvent::Placed {
             caller: head.caller,
             service: head.service,
-            copy: head.ack,
+            transmission: head.ack,
             upstream: record.name.clone(),
             zone: record.zone.clone(),
             flows: record.flows,
@@ -78,21 +78,21 @@
     pub(crate) fn record_deferred(
         &self,
         head: &PacketHead,
-        best: UpstreamIndex,
-        opening: SynDeferralQuery,
+        index: UpstreamIndex,
+        query: SynDeferralQuery,
         output: &mut PacketOutput,
     ) {
         output.events.push(DecisionEvent::Deferred {
             caller: head.caller,
             service: head.service,
-            copy: opening.copy,
-            upstream: self.upstreams.get(best).name.clone(),
-            requests: opening.requests,
+            transmission: query.transmission,
+            upstream: self.upstreams.get(index).name.clone(),
+            requests: query.requests,
             version: self.version,
         });
     }
 
-    pub(crate) fn record_repeated(
+    pub(crate) fn record_retransmission(
         &self,
         now: Instant,
         head: &PacketHead,
@@ -101,7 +101,7 @@
         output: &mut PacketOutput,
     ) {
         let record = self.upstreams.get(index);
-        output.events.push(DecisionEvent::Repeated {
+        output.events.push(DecisionEvent::Retransmitted {
             caller: head.caller,
             service: head.service,
             upstream: record.name.clone(),
@@ -129,7 +129,7 @@
             evacuated,
             known: upstreams > 0 || self.zones.contains(zone),
             flows,
-            through: self.view.through(),
+            through: self.snapshot.through(),
         });
     }
 
@@ -146,9 +146,9 @@
             zone: record.zone.clone(),
             change,
             attempts: record.failure_detector.attempts(),
-            answers: record.answers.counts(),
+            outcomes: record.outlier_detector.counts(),
             heard_ago: time_since(now, record.failure_detector.last_response()),
-            through: self.view.through(),
+            through: self.snapshot.through(),
         });
     }
 }
--- a/packet/src/core_load.rs
+++ b/packet/src/core_load.rs
@@ -32,7 +32,7 @@
     pub(crate) head: &'a PacketHead,
     pub(crate) flow_hash: u64,
     pub(crate) service: ServiceIndex,
-    pub(crate) room: ContentionState,
+    pub(crate) contention: ContentionState,
     /// The earlier SYNs of the flow through this host.
     pub(crate) observations: &'a SynObservations,
     pub(crate) upstream: UpstreamIndex,
@@ -68,12 +68,13 @@
         let Some(class) = self.routes.class(head.service, service) else {
             return true;
         };
-        if !syn.room.is_contended || syn.is_dispatched {
+        if !syn.contention.is_contended || syn.is_dispatched {
             self.admission.record_placed(now, service, class.rank);
             if syn.is_dispatched {
-                let (key, copy) = (FlowKey::of(head), head.ack);
+                let (key, transmission) = (FlowKey::of(head), head.ack);
                 let placed = SynOutcome::Placed;
-                self.admission.record_dispatched(now, key, copy, placed);
+                self.admission
+                    .record_dispatched(now, key, transmission, placed);
             }
             self.load
                 .record_syn(now, service, class, head.ack, SynOutcome::Placed);
@@ -83,24 +84,24 @@
             key: FlowKey::of(head),
             flow_hash: syn.flow_hash,
             service,
-            room: syn.room,
+            contention: syn.contention,
             class,
-            copy: head.ack,
+            transmission: head.ack,
             // By the time a parked SYN is resumed, the caller may have sent the next one and opened
             // the flow through another host.
             placed_before: !syn.observations.tried.is_empty() || self.dispatch.is_resumed,
             has_free_slot: syn.has_free_slot,
-            target: self.routes.target(head.service),
+            objective: self.routes.objective(head.service),
             timeout: self.routes.timeout(head.service),
         };
-        let (_query, verdict) = self.admission.evaluate(now, &arrival);
-        let outcome = match verdict {
+        let (_query, decision) = self.admission.evaluate(now, &arrival);
+        let outcome = match decision {
             SynDecision::Admit => SynOutcome::Placed,
             SynDecision::Defer(_) => SynOutcome::Deferred,
             SynDecision::Refuse(_) => SynOutcome::Refused,
         };
         self.load.record_syn(now, service, class, head.ack, outcome);
-        let (action, code) = match verdict {
+        let (action, code) = match decision {
             SynDecision::Admit => return true,
             SynDecision::Defer(code) => (PacketAction::Drop { code }, code),
             SynDecision::Refuse(code) => (PacketAction::Reset { acked: 0, code }, code),
@@ -123,9 +124,11 @@
         let Some(class) = self.routes.class(head.service, service) else {
             return;
         };
-        let (key, copy) = (FlowKey::of(head), head.ack);
-        self.admission.record_dispatched(now, key, copy, outcome);
-        self.load.record_syn(now, service, class, copy, outcome);
+        let (key, transmission) = (FlowKey::of(head), head.ack);
+        self.admission
+            .record_dispatched(now, key, transmission, outcome);
+        self.load
+            .record_syn(now, service, class, transmission, outcome);
         self.record_class_limit(now, syn, class, code, output);
     }
 
@@ -134,11 +137,11 @@
     pub(crate) fn admits_hedge(
         &mut self,
         now: Instant,
-        room: ContentionState,
+        contention: ContentionState,
         second: UpstreamIndex,
     ) -> bool {
         let is_probe = self.upstreams.get(second).failure_detector.wants_probe(now);
-        !room.is_contended || is_probe || self.admission.spend_hedge()
+        !contention.is_contended || is_probe || self.admission.spend_hedge()
     }
 
     /// Records how a request ended.
@@ -167,7 +170,7 @@
 
     /// Merges a host's load report.
     pub fn handle_load_report(&mut self, now: Instant, from: SocketAddrV4, report: &LoadReport) {
-        self.load.merge_report(now, from, report);
+        self.load.handle_report(now, from, report);
     }
 
     /// Merges an aggregator's digest of the zone's load.
@@ -186,21 +189,21 @@
         output: &mut PacketOutput,
     ) {
         let deferred = matches!(output.actions.last(), Some(PacketAction::Drop { .. }));
-        let updated_at = syn.room.updated_at;
+        let updated_at = syn.contention.updated_at;
         let record = self.upstreams.get(syn.upstream);
-        let room_config = &self.upstreams.config().room;
+        let load_weight = &self.upstreams.config().load_weight;
         let local_hosts = self.peers.local_hosts(now) as u32;
         output.events.push(DecisionEvent::ClassLimited {
             caller: syn.head.caller,
             service: syn.head.service,
             service_name: self.upstreams.pool(syn.service).name.clone(),
-            copy: syn.head.ack,
+            transmission: syn.head.ack,
             class,
             code,
             deferred,
             upstream: record.name.clone(),
-            in_progress: estimated_in_progress(room_config, record, now, local_hosts),
-            room: syn.room,
+            in_progress: estimated_in_progress(load_weight, record, now, local_hosts),
+            contention: syn.contention,
             age: updated_at.map(|at| now.saturating_duration_since(at)),
             version: self.version,
         });
--- a/packet/src/core_peers.rs
+++ b/packet/src/core_peers.rs
@@ -33,15 +33,15 @@
 
 impl PacketCore {
     /// Merges a peer's heartbeat and returns the replies to it.
-    pub fn heard(
+    pub fn handle_heartbeat(
         &mut self,
         now: Instant,
         from: SocketAddrV4,
         heartbeat: PeerHeartbeat,
         stopping: bool,
     ) -> HeartbeatReplies {
-        let heard = self.peers.heard(now, from, heartbeat);
-        let replies = heard.hellos.into_iter().map(|target| {
+        let outcome = self.peers.merge_heartbeat(now, from, heartbeat);
+        let replies = outcome.hellos.into_iter().map(|target| {
             let zone = self.peers.zone_of(target);
             let mut heartbeat = self.heartbeat_for(now, &zone, stopping);
             // A reply must not ask for a reply: two hosts that both seek peers would reply to each
@@ -51,15 +51,15 @@
             AddressedHeartbeat { heartbeat, targets }
         });
         HeartbeatReplies {
-            is_new: heard.is_new,
+            is_new: outcome.is_new,
             heartbeats: replies.collect(),
         }
     }
 
     /// Returns the heartbeats that are due; none between rounds.
-    pub fn round(&mut self, now: Instant, stopping: bool) -> Vec<AddressedHeartbeat> {
-        let lacks_state = self.view.through().is_unread();
-        let Some(round) = self.peers.round(now, self.role.reads(), lacks_state) else {
+    pub fn due_heartbeats(&mut self, now: Instant, stopping: bool) -> Vec<AddressedHeartbeat> {
+        let lacks_state = self.snapshot.through().is_unread();
+        let Some(round) = self.peers.due_round(now, self.role.reads(), lacks_state) else {
             return Vec::new();
         };
         let zone = self.zone.clone();
@@ -93,9 +93,9 @@
             reads: self.role.reads() && self.store_reachable && !stopping,
             capacity: self.capacity,
             ready: self.is_ready() && !stopping,
-            seeks: self.view.through().is_unread() || self.peers.seeks(now),
-            through: self.view.through(),
-            version: self.view.query().version,
+            seeks: self.snapshot.through().is_unread() || self.peers.lacks_local_peer(now),
+            through: self.snapshot.through(),
+            version: self.snapshot.query().version,
             reader: self.peers.reader(now, zone),
             named: self.peers.sample_peers_in(now, zone),
             others: self.peers.sample_peers_outside(now, zone),
--- a/packet/src/core_reading.rs
+++ b/packet/src/core_reading.rs
@@ -27,9 +27,9 @@
     /// Merges an update from the store or a peer, and applies its changes. Returns true if it was
     /// new.
     pub fn merge(&mut self, now: Instant, update: &StateUpdate, output: &mut PacketOutput) -> bool {
-        let before = self.view.through();
+        let before = self.snapshot.through();
         let had_state = !before.is_unread();
-        let outcome = self.view.merge(update);
+        let outcome = self.snapshot.merge(update);
         if outcome.is_stale {
             self.record_rejected_update(update, output);
             return false;
@@ -53,14 +53,14 @@
             let upstreams = listed.filter(|change| matches!(change, StateChange::Upstream(_)));
             output.events.push(DecisionEvent::FirstState {
                 upstreams: upstreams.count(),
-                through: self.view.through(),
+                through: self.snapshot.through(),
             });
             self.peers.make_round_due();
         }
-        if self.synced_since.is_none() && self.view.is_complete() {
+        if self.synced_since.is_none() && self.snapshot.is_complete() {
             self.synced_since = Some(now);
         }
-        self.view.through() > before || !outcome.changes.is_empty()
+        self.snapshot.through() > before || !outcome.changes.is_empty()
     }
 
     /// Returns the update to forward to the hosts of the zone, after this host has merged `update`
@@ -68,7 +68,7 @@
     /// delta, since most hosts of the zone hold the state before it too.
     pub fn forwarded_update(&self, update: StateUpdate, before: &StateQuery) -> StateUpdate {
         if update.whole && before.after.is_before_era_of(update.through) {
-            self.view.update_since(before)
+            self.snapshot.update_since(before)
         } else {
             update
         }
@@ -76,7 +76,7 @@
 
     /// Returns what to do at the store now.
     pub fn store_step(&mut self, now: Instant) -> FeedStep {
-        if self.view.through().is_unread() {
+        if self.snapshot.through().is_unread() {
             let has_seeds = self.peers.has_seeds();
             return self.first_step(now, has_seeds);
         }
@@ -84,16 +84,16 @@
             let until = now + ROLE_CHECK_INTERVAL;
             return FeedStep::Wait { until };
         }
-        self.feed.advance_to(self.view.through());
+        self.feed.advance_to(self.snapshot.through());
         self.feed.next_step(now)
     }
 
     /// Returns what to do at the store while this host holds no state.
     fn first_step(&mut self, now: Instant, has_seeds: bool) -> FeedStep {
-        if let Some(until) = self.start.list_deferred_until(now, has_seeds) {
+        if let Some(until) = self.start_plan.list_deferred_until(now, has_seeds) {
             return FeedStep::Wait { until };
         }
-        let progress_check_after = self.start.progress_check_after(has_seeds);
+        let progress_check_after = self.start_plan.progress_check_after(has_seeds);
         match self.feed.next_step(now) {
             FeedStep::List { after, .. } => FeedStep::List {
                 after,
@@ -106,19 +106,19 @@
     /// Updates whether this host is the reader of its zone. A host that holds no state cannot
     /// become the reader.
     pub(crate) fn decide_role(&mut self, now: Instant, output: &mut PacketOutput) {
-        self.role.begin(now);
-        if self.view.through().is_unread() {
+        self.role.record_start(now);
+        if self.snapshot.through().is_unread() {
             return;
         }
         let change = self.role.decide(now, &self.peers, self.store_reachable);
         if let Some(change) = change {
-            self.feed.pause();
+            self.feed.restart_calls();
             self.store_reachable = false;
             output.events.push(DecisionEvent::Role {
                 change,
                 reader: self.zone_reader(now),
                 peers: self.peers.local_addresses(now).len(),
-                through: self.view.through(),
+                through: self.snapshot.through(),
             });
         }
     }
@@ -142,8 +142,8 @@
         now: Instant,
         page: ListPage,
     ) -> Result<Option<StateUpdate>, StoreFault> {
-        let update = self.feed.listed(page)?;
-        self.store_answered(now);
+        let update = self.feed.accept_page(page)?;
+        self.store_responded(now);
         Ok(update)
     }
 
@@ -155,48 +155,48 @@
         now: Instant,
         batch: WatchBatch,
     ) -> Result<StateUpdate, StoreFault> {
-        let update = self.feed.changed(now, batch)?;
-        self.store_answered(now);
+        let update = self.feed.accept_watch_batch(now, batch)?;
+        self.store_responded(now);
         Ok(update)
     }
 
     /// Records that a call to the store failed.
     pub fn store_failed(&mut self, now: Instant, fault: &StoreFault) {
         self.synced_since = None;
-        self.feed.failed(now, fault);
+        self.feed.call_failed(now, fault);
         if fault.needs_list() {
             return;
         }
         self.store_reachable = false;
         if *fault == StoreFault::ListTooSlow {
-            self.start.list_abandoned(now);
+            self.start_plan.list_abandoned(now);
         } else {
             self.role.store_lost(now);
         }
     }
 
     /// Records that the store responds.
-    pub fn store_answered(&mut self, now: Instant) {
+    pub fn store_responded(&mut self, now: Instant) {
         self.store_reachable = true;
-        if self.view.is_complete() {
+        if self.snapshot.is_complete() {
             self.synced_since.get_or_insert(now);
         }
     }
 
     /// Returns the peer to request a newer state from now, if any.
-    pub fn source(&mut self, now: Instant) -> Option<SocketAddrV4> {
+    pub fn state_source(&mut self, now: Instant) -> Option<SocketAddrV4> {
         let source = self
             .peers
-            .source(now, &self.view.query(), self.sync_state());
+            .state_source(now, &self.snapshot.query(), self.sync_state());
         if source.is_some() {
-            self.start.asked(now);
+            self.start_plan.state_requested(now);
         }
         source
     }
 
     /// Records that a peer returned no state. `busy` means that it serves too many other hosts.
     pub fn source_failed(&mut self, now: Instant, peer: SocketAddrV4, busy: bool) {
-        self.start.refused(now);
+        self.start_plan.state_refused(now);
         self.peers.source_failed(now, peer, busy);
     }
 
@@ -213,7 +213,7 @@
     /// Updates since when the state of a host that is not the reader has been in sync: since the
     /// zone has had a reader without interruption.
     pub(crate) fn follow_reader(&mut self, now: Instant) {
-        if self.role.reads() || !self.view.is_complete() {
+        if self.role.reads() || !self.snapshot.is_complete() {
             return;
         }
         if self.peers.has_reader(now) {
@@ -242,7 +242,7 @@
                 output.events.push(DecisionEvent::Routes {
                     version: config.version,
                     routes: config.routes.len(),
-                    through: self.view.through(),
+                    through: self.snapshot.through(),
                 });
                 let faults = config.field_faults.iter().cloned();
                 output.events.extend(faults.map(|fault| {
@@ -302,7 +302,7 @@
     }
 
     fn sync_state(&self) -> SyncState {
-        let has_state = !self.view.through().is_unread();
+        let has_state = !self.snapshot.through().is_unread();
         match (has_state, self.store_reachable, self.role.reads()) {
             (false, false, _) => SyncState::Empty,
             (false, true, _) => SyncState::Listing,
--- a/packet/src/core_spill.rs
+++ b/packet/src/core_spill.rs
@@ -20,12 +20,12 @@
 use crate::upstreams::upstream_record::UpstreamRecord;
 
 impl PacketCore {
-    /// The load of other zones, and the shares of new flows that leave for them.
+    /// The load of other zones, and the shares of new flows that spill to them.
     pub fn spill(&self) -> &ZoneSpill {
         &self.spill
     }
 
-    /// Updates the shares of new flows that leave the zone.
+    /// Updates the shares of new flows that spill to other zones.
     pub(crate) fn tick_spill(&mut self, now: Instant, output: &mut PacketOutput) {
         let services = self.spill_loads(now);
         let input = SpillInput {
@@ -64,31 +64,31 @@
         from: SocketAddrV4,
         report: &ZoneLoadReport,
     ) -> Option<AddressedDatagram> {
-        if !self.spill.heard(now, from, report) {
+        if !self.spill.handle_report(now, from, report) {
             return None;
         }
         let services = 0..self.upstreams.pools().len() as ServiceIndex;
         let is_wanted = |service: &ServiceIndex| {
             let tag = self.upstreams.pool(*service).tag;
             let is_reported = report.services.iter().any(|load| load.service == tag);
-            is_reported || self.load.room(now, *service).is_contended
+            is_reported || self.load.contention(now, *service).is_contended
         };
         let services = services.filter(is_wanted);
         let loads: Vec<LocalLoad> = services
             .map(|service| self.local_load(now, service))
             .collect();
-        let reply = self.spill.reply(report, &loads);
+        let reply = self.spill.reply_to(report, &loads);
         Some(AddressedDatagram {
             datagram: PeerDatagram::ZoneLoad(reply),
             targets: vec![from],
         })
     }
 
-    /// Returns the load of the services that are contended or from which flows leave the zone.
+    /// Returns the load of the services that are contended or whose flows spill to other zones.
     fn spill_loads(&self, now: Instant) -> Vec<LocalLoad> {
         let services = 0..self.upstreams.pools().len() as ServiceIndex;
         let is_wanted = |service: &ServiceIndex| {
-            let is_contended = self.load.room(now, *service).is_contended;
+            let is_contended = self.load.contention(now, *service).is_contended;
             is_contended || !self.spill.shares(*service).is_empty()
         };
         let services = services.filter(is_wanted);
@@ -101,7 +101,7 @@
     /// host's own counts times the number of hosts.
     fn local_load(&self, now: Instant, service: ServiceIndex) -> LocalLoad {
         let pool = self.upstreams.pool(service);
-        let room = self.load.room(now, service);
+        let contention = self.load.contention(now, service);
         let hosts = self.peers.local_hosts(now) as u32;
         let records = |members: &'_ [u32]| {
             let records = members.iter().map(|index| self.upstreams.get(*index));
@@ -114,8 +114,8 @@
         let counted = counted
             .fold(0, u32::saturating_add)
             .saturating_mul(REQUEST_LOAD);
-        let in_progress = match room.updated_at {
-            Some(_) => room.pressure.saturating_mul(slots),
+        let in_progress = match contention.updated_at {
+            Some(_) => contention.pressure.saturating_mul(slots),
             None => counted,
         };
         let mut responding: Vec<ZoneName> = Vec::new();
@@ -134,10 +134,12 @@
             in_progress,
             pressure: match slots {
                 0 => 0,
-                _ => room.pressure.max(slot_pressure_or_max(in_progress, slots)),
+                _ => contention
+                    .pressure
+                    .max(slot_pressure_or_max(in_progress, slots)),
             },
-            is_contended: room.is_contended,
-            objective: self.routes.service_target(service),
+            is_contended: contention.is_contended,
+            objective: self.routes.service_objective(service),
             sent,
             responding,
         }
--- a/packet/src/dispatch/dispatch_client.rs
+++ b/packet/src/dispatch/dispatch_client.rs
@@ -73,7 +73,7 @@
 
 impl DispatchClient {
     /// Records a query. Returns false if too many are pending.
-    pub fn ask(
+    pub fn start_query(
         &mut self,
         now: Instant,
         key: FlowKey,
@@ -96,8 +96,8 @@
 
     /// Records a reply. Returns the flow that waits for it and the time at which its SYN is to be
     /// resumed, or `None` if there is no such query or the reply comes from a host that was not
-    /// asked.
-    pub fn reply(
+    /// queried.
+    pub fn handle_reply(
         &mut self,
         now: Instant,
         from: SocketAddrV4,
@@ -117,7 +117,7 @@
     }
 
     /// Returns the state of a flow's query, and removes the query unless it is still waiting.
-    pub fn take(&mut self, now: Instant, flow: FlowDigest) -> QueryState {
+    pub fn take_state(&mut self, now: Instant, flow: FlowDigest) -> QueryState {
         let Some(query) = self.queries.get(&flow).copied() else {
             return QueryState::Absent;
         };
@@ -138,7 +138,7 @@
     }
 
     /// Queues an event for a dispatcher. Drops it if `MAX_PENDING_EVENTS` are queued.
-    pub fn report(&mut self, dispatcher: SocketAddrV4, event: RequestEvent) {
+    pub fn queue_event(&mut self, dispatcher: SocketAddrV4, event: RequestEvent) {
         if self.events.len() < MAX_PENDING_EVENTS {
             self.events.push((dispatcher, event));
         }
--- a/packet/src/dispatch/dispatch_message.rs
+++ b/packet/src/dispatch/dispatch_message.rs
@@ -74,6 +74,6 @@
     Defer,
     /// Refuse the flow: no upstream has capacity for its priority class.
     Refuse,
-    /// The dispatcher lacks the data to decide; the host that asked decides alone.
+    /// The dispatcher lacks the data to decide; the host that sent the query decides alone.
     Unknown,
 }
--- a/packet/src/dispatch/dispatch_policy.rs
+++ b/packet/src/dispatch/dispatch_policy.rs
@@ -23,11 +23,11 @@
 pub struct DispatchConfig {
     /// Whether dispatchers place the new flows of contended services.
     pub is_enabled: bool,
-    /// Requests in progress per slot at which an upstream counts as full, in parts of
+    /// Requests in progress per slot at which an upstream is saturated, in parts of
     /// [`REQUEST_LOAD`].
-    pub full_load: u32,
-    /// Part of `full_load` that is reserved for more urgent flows if all recently placed flows were
-    /// more urgent. The reserve is proportional to their share.
+    pub saturation_load: u32,
+    /// Part of `saturation_load` that is reserved for more urgent flows if all recently placed
+    /// flows were more urgent. The reserve is proportional to their share.
     pub urgent_reserve: u32,
     /// Reserves below this are treated as none, since the request counts are not exact.
     pub min_reserve: u32,
@@ -41,7 +41,7 @@
     fn default() -> Self {
         Self {
             is_enabled: true,
-            full_load: 5 * REQUEST_LOAD,
+            saturation_load: 5 * REQUEST_LOAD,
             urgent_reserve: 3 * REQUEST_LOAD / 2,
             min_reserve: REQUEST_LOAD / 2,
             max_deferred_share: 300,
@@ -102,7 +102,7 @@
 /// Returns whether a flow is limited by `reserve`. `candidate` is the least loaded of all
 /// upstreams.
 pub fn is_limited(config: &DispatchConfig, reserve: u32, candidate: &DispatchCandidate) -> bool {
-    candidate.load() >= config.full_load.saturating_sub(reserve)
+    candidate.load() >= config.saturation_load.saturating_sub(reserve)
 }
 
 /// Number of flows after which the counts of [`PriorityMix`] are halved.
--- a/packet/src/dispatch/dispatcher_choice.rs
+++ b/packet/src/dispatch/dispatcher_choice.rs
@@ -56,12 +56,12 @@
     }
 
     /// Records a reply of a dispatcher.
-    pub fn replied(&mut self, address: SocketAddrV4) {
+    pub fn record_reply(&mut self, address: SocketAddrV4) {
         self.unresponsive.retain(|entry| entry.address != address);
     }
 
     /// Records that a query timed out. Returns true if the dispatcher is skipped from now on.
-    pub fn missed(&mut self, now: Instant, address: SocketAddrV4) -> bool {
+    pub fn record_timeout(&mut self, now: Instant, address: SocketAddrV4) -> bool {
         let is_expired =
             |entry: &UnresponsiveDispatcher| entry.skipped_until.is_some_and(|until| until <= now);
         self.unresponsive
--- a/packet/src/dispatch/request_ledger.rs
+++ b/packet/src/dispatch/request_ledger.rs
@@ -47,19 +47,19 @@
 
     /// Records that a request was forwarded to an upstream. A flow has at most one request at a
     /// time.
-    pub fn begin(&mut self, now: Instant, flow: FlowDigest, upstream: UpstreamIndex) {
+    pub fn record_request(&mut self, now: Instant, flow: FlowDigest, upstream: UpstreamIndex) {
         self.insert(flow, upstream, now + REQUEST_LIFETIME);
     }
 
     /// Records that a flow was placed; it counts as a request until its first request is reported.
-    pub fn place(&mut self, now: Instant, flow: FlowDigest, upstream: UpstreamIndex) {
+    pub fn record_placement(&mut self, now: Instant, flow: FlowDigest, upstream: UpstreamIndex) {
         let expires_at = now + PLACEMENT_LIFETIME;
         self.insert(flow, upstream, expires_at);
         self.placements.push_back((expires_at, flow));
     }
 
     /// Records that a flow's request has ended.
-    pub fn end(&mut self, flow: FlowDigest) {
+    pub fn record_end(&mut self, flow: FlowDigest) {
         if let Some(entry) = self.entries.remove(&flow) {
             self.release(entry.upstream);
         }
@@ -73,7 +73,7 @@
             self.placements.pop_front();
             let entry = self.entries.get(&flow);
             if entry.is_some_and(|entry| entry.expires_at <= now) {
-                self.end(flow);
+                self.record_end(flow);
             }
         }
     }
@@ -98,7 +98,7 @@
     }
 
     fn insert(&mut self, flow: FlowDigest, upstream: UpstreamIndex, expires_at: Instant) {
-        self.end(flow);
+        self.record_end(flow);
         if self.entries.len() >= MAX_REQUESTS {
             return;
         }
--- a/packet/src/flows/flow_cost.rs
+++ b/packet/src/flows/flow_cost.rs
@@ -134,7 +134,7 @@
     }
 
     /// Starts to measure a flow that has just been established.
-    pub fn begin(&mut self, now: Instant, key: FlowKey, service: ServiceIndex) {
+    pub fn start_measuring(&mut self, now: Instant, key: FlowKey, service: ServiceIndex) {
         if self.measured.len() >= MAX_MEASURED_FLOWS {
             return;
         }
--- a/packet/src/flows/flow_tracker.rs
+++ b/packet/src/flows/flow_tracker.rs
@@ -65,18 +65,18 @@
     /// Upstreams that earlier SYNs of the flow were sent to.
     pub tried: ArrayVec<UpstreamIndex, MAX_TRIED_UPSTREAMS>,
     /// Upstreams that this SYN ejects.
-    pub avoided: ArrayVec<UpstreamIndex, MAX_TRIED_UPSTREAMS>,
+    pub ejected: ArrayVec<UpstreamIndex, MAX_TRIED_UPSTREAMS>,
 }
 
 /// What a packet of an established flow reveals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PacketObservations {
     /// Time from the request to the start of its response, if the response began.
-    pub answered: Option<Duration>,
+    pub response_time: Option<Duration>,
     /// Time that the request has waited, if the caller retransmitted it.
-    pub repeated: Option<Duration>,
+    pub retransmitted_after: Option<Duration>,
     /// Whether the packet ejects the upstream.
-    pub avoided: bool,
+    pub ejected: bool,
     /// Whether the previous response was an error by which the upstream shed the request for lack
     /// of capacity.
     pub shed: bool,
@@ -130,31 +130,33 @@
         key: &FlowKey,
         upstreams: &mut UpstreamTable,
     ) -> SynObservations {
-        let mut seen = SynObservations::default();
+        let mut observations = SynObservations::default();
         let Some(half_open_flow) = self.table.half_open.get(key) else {
-            return seen;
+            return observations;
         };
         let in_grace = self.in_stall_grace(now);
         for attempt in &half_open_flow.attempts {
-            seen.tried.push(attempt.upstream);
+            observations.tried.push(attempt.upstream);
             let (index, sent) = (attempt.upstream, attempt.sent);
             if !in_grace && upstreams.attempt_failed(index, now, sent, key.caller) {
-                seen.avoided.push(attempt.upstream);
+                observations.ejected.push(attempt.upstream);
             }
         }
-        seen
+        observations
     }
 
     /// Returns the upstreams of earlier SYNs for a SYN that was parked. Unlike
     /// [`Self::syn_retransmitted`], it counts no failed attempts, since they were counted before
     /// the SYN was parked.
     pub fn earlier_attempts(&self, key: &FlowKey) -> SynObservations {
-        let mut seen = SynObservations::default();
+        let mut observations = SynObservations::default();
         if let Some(half_open_flow) = self.table.half_open.get(key) {
             let attempts = half_open_flow.attempts.iter();
-            seen.tried.extend(attempts.map(|attempt| attempt.upstream));
+            observations
+                .tried
+                .extend(attempts.map(|attempt| attempt.upstream));
         }
-        seen
+        observations
     }
 
     /// Records that a SYN was sent to an upstream.
@@ -189,7 +191,7 @@
     }
 
     /// Handles a packet of an established flow with this upstream.
-    pub fn packet(
+    pub fn handle_packet(
         &mut self,
         now: Instant,
         key: FlowKey,
@@ -197,12 +199,12 @@
         index: UpstreamIndex,
         upstreams: &mut UpstreamTable,
     ) -> PacketObservations {
-        let mut seen = PacketObservations::default();
+        let mut observations = PacketObservations::default();
         let in_grace = self.in_stall_grace(now);
         let half_open_flow = self.table.half_open.remove(&key);
         if let Some(half_open_flow) = &half_open_flow {
             flow_load::release_attempts(half_open_flow, upstreams);
-            seen.recovered = upstreams
+            observations.recovered = upstreams
                 .get_mut(index)
                 .failure_detector
                 .record_response(now);
@@ -214,24 +216,24 @@
                 self.failures += classify_timed_out(now, record, stats, in_grace, upstreams);
             }
             self.costs.end(&costs_config, now, &key);
-            self.end(&key, upstreams);
-            return seen;
+            self.remove_flow(&key, upstreams);
+            return observations;
         }
         let moved = self
             .flow(&key)
             .is_some_and(|record| record.upstream != index);
         if moved {
-            self.end(&key, upstreams);
+            self.remove_flow(&key, upstreams);
         }
         if self.flow(&key).is_none() && !self.track(now, key, head, index, upstreams) {
-            return seen;
+            return observations;
         }
         if half_open_flow.is_some() {
             let service = upstreams.get(index).service;
-            self.costs.begin(now, key, service);
+            self.costs.start_measuring(now, key, service);
         }
         let Some(record) = self.table.flows.get_mut(&key) else {
-            return seen;
+            return observations;
         };
         let previous_waiting_since = record.waiting_since;
         let pause = now.saturating_duration_since(record.last_seen);
@@ -243,8 +245,8 @@
         if let (Some(stats), true) = (&mut stats, is_next_request) {
             stats.pauses.record(pause);
         }
-        observe_ack(now, record, head, upstreams, &mut seen);
-        if let (Some(stats), Some(took)) = (&mut stats, seen.answered) {
+        observe_ack(now, record, head, upstreams, &mut observations);
+        if let (Some(stats), Some(took)) = (&mut stats, observations.response_time) {
             stats.pauses.record(took);
             stats.response_times.record(took);
         }
@@ -253,18 +255,24 @@
             record.classification = RequestClassification::Done;
         }
         if is_continued && record.waiting_since.is_none() && record.is_unclassified() {
-            classify_answered(now, record, stats.as_deref_mut(), upstreams, &mut seen);
-            self.failures += u64::from(seen.failed);
+            classify_answered(
+                now,
+                record,
+                stats.as_deref_mut(),
+                upstreams,
+                &mut observations,
+            );
+            self.failures += u64::from(observations.failed);
         }
-        observe_data(now, record, head, upstreams, &mut seen);
-        if seen.answered.is_some() {
+        observe_data(now, record, head, upstreams, &mut observations);
+        if observations.response_time.is_some() {
             self.costs.set_waiting(&costs_config, now, &key, false);
         }
         if record.waiting_since.is_some() && record.waiting_since != previous_waiting_since {
             self.costs.set_waiting(&costs_config, now, &key, true);
         }
-        if let (Some(waited), false) = (seen.repeated, in_grace) {
-            seen.avoided = upstreams.attempt_failed(index, now, now - waited, key.caller);
+        if let (Some(waited), false) = (observations.retransmitted_after, in_grace) {
+            observations.ejected = upstreams.attempt_failed(index, now, now - waited, key.caller);
         }
         if head.last && record.activity != FlowActivity::Closing {
             let stats = stats.as_deref();
@@ -272,11 +280,11 @@
             flow_load::mark_closing(record, upstreams);
             self.costs.end(&costs_config, now, &key);
         }
-        seen
+        observations
     }
 
     /// Removes a flow.
-    pub fn end(&mut self, key: &FlowKey, upstreams: &mut UpstreamTable) {
+    pub fn remove_flow(&mut self, key: &FlowKey, upstreams: &mut UpstreamTable) {
         if let Some(half_open_flow) = self.table.half_open.remove(key) {
             flow_load::release_attempts(&half_open_flow, upstreams);
         }
@@ -301,7 +309,7 @@
             .map(|(key, record)| (*key, record.acked))
             .collect();
         for (key, _acked) in &ended {
-            self.end(key, upstreams);
+            self.remove_flow(key, upstreams);
         }
         ended
     }
@@ -377,7 +385,7 @@
         now: Instant,
         upstreams: &mut UpstreamTable,
     ) -> Vec<UpstreamIndex> {
-        let mut avoided = Vec::new();
+        let mut ejected = Vec::new();
         let in_grace = self.in_stall_grace(now);
         self.table.half_open.retain(|key, half_open_flow| {
             let last = half_open_flow.attempts.last().map(|attempt| attempt.sent);
@@ -387,14 +395,14 @@
                 for attempt in &half_open_flow.attempts {
                     let (index, sent) = (attempt.upstream, attempt.sent);
                     if !in_grace && upstreams.attempt_failed(index, now, sent, key.caller) {
-                        avoided.push(attempt.upstream);
+                        ejected.push(attempt.upstream);
                     }
                 }
                 flow_load::release_attempts(half_open_flow, upstreams);
             }
             keep
         });
-        avoided
+        ejected
     }
 
     /// Starts to track a flow. Returns false if the table is full.
@@ -434,7 +442,7 @@
     record: &mut FlowRecord,
     head: &PacketHead,
     upstreams: &mut UpstreamTable,
-    seen: &mut PacketObservations,
+    observations: &mut PacketObservations,
 ) {
     if !is_after(head.ack, record.acked) {
         return;
@@ -443,15 +451,19 @@
     let received = u16::try_from(received).unwrap_or(u16::MAX);
     record.response_bytes = record.response_bytes.saturating_add(received);
     record.acked = head.ack;
-    seen.recovered |= upstreams
+    observations.recovered |= upstreams
         .get_mut(record.upstream)
         .failure_detector
         .record_response(now);
-    seen.answered = record
+    observations.response_time = record
         .waiting_since
         .map(|since| now.saturating_duration_since(since));
     let max_delay = upstreams.config().exchange.max_shed_delay;
-    if record.is_unclassified() && seen.answered.is_some_and(|took| took <= max_delay) {
+    if record.is_unclassified()
+        && observations
+            .response_time
+            .is_some_and(|took| took <= max_delay)
+    {
         record.classification = RequestClassification::PendingFastResponse;
     }
     flow_load::stop_waiting(record, upstreams);
@@ -464,7 +476,7 @@
     record: &mut FlowRecord,
     head: &PacketHead,
     upstreams: &mut UpstreamTable,
-    seen: &mut PacketObservations,
+    observations: &mut PacketObservations,
 ) {
     if head.data_len == 0 || record.activity == FlowActivity::Closing {
         return;
@@ -483,7 +495,7 @@
     if is_new {
         record.waiting_since = Some(now);
     } else {
-        seen.repeated = Some(now.saturating_duration_since(since));
+        observations.retransmitted_after = Some(now.saturating_duration_since(since));
     }
 }
 
@@ -494,7 +506,7 @@
     record: &mut FlowRecord,
     stats: Option<&mut RouteStats>,
     upstreams: &mut UpstreamTable,
-    seen: &mut PacketObservations,
+    observations: &mut PacketObservations,
 ) {
     let was_fast = record.classification == RequestClassification::PendingFastResponse;
     record.classification = RequestClassification::Done;
@@ -502,20 +514,20 @@
     let bytes = record.response_bytes;
     let is_short = stats
         .as_ref()
-        .is_some_and(|stats| stats.answers.is_short(config, bytes));
+        .is_some_and(|stats| stats.response_sizes.is_short(config, bytes));
     if is_short && was_fast && is_shed(upstreams, record.upstream) {
-        seen.shed = true;
+        observations.shed = true;
         return;
     }
     if let Some(stats) = stats {
-        stats.answers.learn(config, bytes);
+        stats.response_sizes.record(config, bytes);
     }
-    seen.failed = is_short;
-    let answers = &mut upstreams.get_mut(record.upstream).answers;
+    observations.failed = is_short;
+    let outlier_detector = &mut upstreams.get_mut(record.upstream).outlier_detector;
     if is_short {
-        answers.returned_error(now);
+        outlier_detector.record_error(now);
     } else {
-        answers.served(now);
+        outlier_detector.record_served(now);
     }
 }
 
@@ -540,7 +552,7 @@
     }
     record.classification = RequestClassification::Done;
     let upstream = upstreams.get_mut(record.upstream);
-    upstream.answers.timed_out(now, sent);
+    upstream.outlier_detector.record_timeout(now, sent);
     1
 }
 
--- a/packet/src/flows/route_stats.rs
+++ b/packet/src/flows/route_stats.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouteStats {
     /// Sizes of the responses.
-    pub answers: ResponseSizeMean,
+    pub response_sizes: ResponseSizeMean,
     /// Pauses within flows in use.
     pub pauses: PauseEstimate,
     /// Times from a request to its response.
--- a/packet/src/health/failure_detector.rs
+++ b/packet/src/health/failure_detector.rs
@@ -55,7 +55,7 @@
         self.attempts
     }
 
-    /// Whether the upstream is ejected: new flows avoid it until a probe is answered.
+    /// Whether the upstream is ejected: new flows avoid it until it responds to a probe.
     pub fn is_ejected(&self) -> bool {
         self.outlier.is_ejected() || self.outlier.is_on_probation()
     }
@@ -113,7 +113,7 @@
 
     /// Records a response that another host saw at `at`. If all unanswered attempts were sent after
     /// it, they still count.
-    pub fn peer_response(&mut self, at: Instant) {
+    pub fn record_peer_response(&mut self, at: Instant) {
         if self.last_response.is_some_and(|response| response >= at) {
             return;
         }
--- a/packet/src/health/outlier_detector.rs
+++ b/packet/src/health/outlier_detector.rs
@@ -78,14 +78,14 @@
     }
 
     /// Records a request through this host that was served.
-    pub fn served(&mut self, now: Instant) {
+    pub fn record_served(&mut self, now: Instant) {
         self.rotate_windows(now);
         self.current.served += 1;
         self.last_served = Some(now);
     }
 
     /// Records a request through this host whose response was an error.
-    pub fn returned_error(&mut self, now: Instant) {
+    pub fn record_error(&mut self, now: Instant) {
         self.rotate_windows(now);
         self.current.failed += 1;
     }
@@ -94,7 +94,7 @@
     ///
     /// If nothing has been served since `sent`, requests served earlier no longer count. Otherwise
     /// the earlier load of an upstream that has stopped responding would hide its failures.
-    pub fn timed_out(&mut self, now: Instant, sent: Instant) {
+    pub fn record_timeout(&mut self, now: Instant, sent: Instant) {
         self.rotate_windows(now);
         if self.last_served.is_none_or(|served| served <= sent) {
             self.current.served = 0;
@@ -169,7 +169,7 @@
 
     /// Records the size of a response, clamped to the largest that can be stored; true if it is so
     /// short that it counts as an error.
-    pub fn learn(&mut self, config: &OutlierConfig, bytes: u16) -> bool {
+    pub fn record(&mut self, config: &OutlierConfig, bytes: u16) -> bool {
         let short = self.is_short(config, bytes);
         let bytes = u64::from(bytes);
         let mean = self.shifted >> SIZE_SHIFT;
--- a/packet/src/ids.rs
+++ b/packet/src/ids.rs
@@ -15,7 +15,7 @@
 /// Hash of an upstream's name that callers return in each packet of a flow; 0 means none.
 pub type FlowTag = u32;
 
-/// Index of an upstream in the upstream table; never reused for another upstream.
+/// Index of an upstream in the upstream table; reused once the record of its upstream is removed.
 pub type UpstreamIndex = u32;
 
 /// Index of a service in the upstream table; never reused for another service.
--- a/packet/src/load/load_tracker.rs
+++ b/packet/src/load/load_tracker.rs
@@ -145,9 +145,9 @@
         grown.min(self.max_interval)
     }
 
-    /// Returns `least` or [`MIN_LIFETIME_HALF_INTERVALS`], whichever is longer.
-    fn lifetime(&self, least: Duration, hosts: u32) -> Duration {
-        least.max(self.interval(hosts) * MIN_LIFETIME_HALF_INTERVALS / 2)
+    /// Returns `min_lifetime` or [`MIN_LIFETIME_HALF_INTERVALS`], whichever is longer.
+    fn lifetime(&self, min_lifetime: Duration, hosts: u32) -> Duration {
+        min_lifetime.max(self.interval(hosts) * MIN_LIFETIME_HALF_INTERVALS / 2)
     }
 }
 
@@ -184,7 +184,7 @@
 
 /// Load of one service for metrics. Counts cover this host since its start.
 #[derive(Clone, Copy, Debug)]
-pub struct ServiceStatus<'a> {
+pub struct ServiceLoadStatus<'a> {
     /// The state that placement and admission read.
     pub contention: ContentionState,
     /// Number of hosts whose counts the load is based on; 1 if only this host's, 0 if the load is
@@ -255,7 +255,7 @@
 
     /// Returns the load of a service. While the service is not contended, this is usually the
     /// estimate from this host's own counts.
-    pub fn room(&self, _now: Instant, service: ServiceIndex) -> ContentionState {
+    pub fn contention(&self, _now: Instant, service: ServiceIndex) -> ContentionState {
         let tracker = self.services.get(service as usize);
         tracker.map_or_else(ContentionState::default, |tracker| tracker.contention)
     }
@@ -267,10 +267,10 @@
     }
 
     /// Returns the load of a service for metrics; `None` before the first tick with the service.
-    pub fn status(&self, now: Instant, service: ServiceIndex) -> Option<ServiceStatus<'_>> {
+    pub fn status(&self, now: Instant, service: ServiceIndex) -> Option<ServiceLoadStatus<'_>> {
         let tracker = self.services.get(service as usize)?;
         let updated_at = tracker.contention.updated_at;
-        Some(ServiceStatus {
+        Some(ServiceLoadStatus {
             contention: tracker.contention,
             reporters: tracker.reporters,
             age: updated_at.map(|at| now.saturating_duration_since(at)),
@@ -323,17 +323,17 @@
         self.rejections
     }
 
-    /// Records the result of a SYN; `copy` is 0 for the first SYN of a flow.
+    /// Records the result of a SYN; `transmission` is 0 for the first SYN of a flow.
     pub fn record_syn(
         &mut self,
         now: Instant,
         service: ServiceIndex,
         class: RequestClass,
-        copy: u32,
+        transmission: u32,
         outcome: SynOutcome,
     ) {
         let counts = ClassCounts {
-            asked: u64::from(copy == 0),
+            asked: u64::from(transmission == 0),
             placed: u64::from(outcome == SynOutcome::Placed),
             deferred: u64::from(outcome == SynOutcome::Deferred),
             refused: u64::from(outcome == SynOutcome::Refused),
@@ -458,7 +458,7 @@
     }
 
     /// Stores the report of a host that has selected this host as its aggregator.
-    pub fn merge_report(&mut self, now: Instant, from: SocketAddrV4, report: &LoadReport) {
+    pub fn handle_report(&mut self, now: Instant, from: SocketAddrV4, report: &LoadReport) {
         if !self.config.is_enabled {
             return;
         }
@@ -617,7 +617,7 @@
             services: Vec::new(),
         };
         for (position, tracker) in self.services.iter_mut().enumerate() {
-            let mut service_report = tracker.report();
+            let mut service_report = tracker.take_report();
             let pool = upstreams.pool(position as ServiceIndex);
             for index in &pool.local {
                 let window = self.windows.get_mut(*index as usize);
--- a/packet/src/load/service_tracker.rs
+++ b/packet/src/load/service_tracker.rs
@@ -160,7 +160,7 @@
     }
 
     /// Returns the counts since the last report, without upstreams.
-    pub fn report(&mut self) -> ServiceReport {
+    pub fn take_report(&mut self) -> ServiceReport {
         let classes = self.classes.take_unreported();
         let active = classes.filter(|(_priority, counts)| *counts != Default::default());
         ServiceReport {
--- a/packet/src/load/zone_exchange.rs
+++ b/packet/src/load/zone_exchange.rs
@@ -31,9 +31,9 @@
 /// Maximum number of rejected senders that are reported per tick.
 const MAX_REJECTED_SENDERS: usize = 16;
 
-/// Maximum number of requests waiting for replies: those sent within the maximum age of reports,
-/// and a reserve.
-const MAX_PENDING_REQUESTS: usize = 16;
+/// Maximum number of queries waiting for replies: those sent within the maximum age of reports, and
+/// a reserve.
+const MAX_PENDING_QUERIES: usize = 16;
 
 /// Time after which a report is no longer merged with a newer one of the same zone.
 const REPORT_MERGE_WINDOW: Duration = Duration::from_millis(750);
@@ -50,7 +50,7 @@
     /// This host's sequence in the sender's last reply; `None` before the first.
     replied_sequence: Option<u64>,
     received_at: Instant,
-    /// Time from a request to its reply; `None` before the first reply.
+    /// Time from a query to its reply; `None` before the first reply.
     delay: Option<Duration>,
     services: Vec<ZoneServiceLoad>,
 }
@@ -62,7 +62,7 @@
     pub zone: ZoneName,
     /// Arrival of the zone's last report; `None` if it precedes the start of the clock.
     pub received_at: Option<Instant>,
-    /// Time from a request to its reply; `None` before the first reply.
+    /// Time from a query to its reply; `None` before the first reply.
     pub delay: Option<Duration>,
     /// Load of the services, as merged from the zone's reports.
     pub services: Vec<ZoneServiceEntry>,
@@ -81,15 +81,15 @@
 /// Requests of the own zone's callers in progress in other zones, by service.
 pub type SpilledByService<'a> = &'a [(ServiceTag, &'a [SpilledRequests])];
 
-/// Load reports of other zones and the requests for them.
+/// Load reports of other zones and the queries for them.
 #[derive(Debug)]
 pub struct ZoneExchange {
     zone: ZoneName,
     report_age: Duration,
     /// By zone; no list is empty.
     reports: BTreeMap<ZoneName, ArrayVec<HostReport, MAX_REPORTS_PER_ZONE>>,
-    /// Sequences and send times of requests without a reply.
-    pending: VecDeque<(u64, Instant)>,
+    /// Sequence numbers and send times of queries without a reply.
+    pending_queries: VecDeque<(u64, Instant)>,
     sequence: u64,
     digest: Option<CurrentDigest>,
     rejected: ArrayVec<SocketAddrV4, MAX_REJECTED_SENDERS>,
@@ -102,26 +102,31 @@
             zone,
             report_age,
             reports: BTreeMap::new(),
-            pending: VecDeque::new(),
+            pending_queries: VecDeque::new(),
             sequence: 0,
             digest: None,
             rejected: ArrayVec::new(),
         }
     }
 
-    /// Starts a request for a report and returns its sequence.
-    pub fn ask(&mut self, now: Instant) -> u64 {
+    /// Starts a query for the report of another zone and returns its sequence number.
+    pub fn start_query(&mut self, now: Instant) -> u64 {
         self.sequence += 1;
-        if self.pending.len() == MAX_PENDING_REQUESTS {
-            self.pending.pop_front();
+        if self.pending_queries.len() == MAX_PENDING_QUERIES {
+            self.pending_queries.pop_front();
         }
-        self.pending.push_back((self.sequence, now));
+        self.pending_queries.push_back((self.sequence, now));
         self.sequence
     }
 
     /// Stores the report of another zone. Returns whether its sender requests a report of this
     /// zone.
-    pub fn heard(&mut self, now: Instant, from: SocketAddrV4, report: &ZoneLoadReport) -> bool {
+    pub fn handle_report(
+        &mut self,
+        now: Instant,
+        from: SocketAddrV4,
+        report: &ZoneLoadReport,
+    ) -> bool {
         if !report.is_valid() {
             self.reject(from);
             return false;
@@ -129,11 +134,11 @@
         if report.zone == self.zone {
             return false;
         }
-        let requested_at = self
-            .pending
+        let queried_at = self
+            .pending_queries
             .iter()
-            .find(|request| request.0 == report.sequence);
-        let delay = requested_at.map(|(_sequence, at)| now.saturating_duration_since(*at));
+            .find(|query| query.0 == report.sequence);
+        let delay = queried_at.map(|(_sequence, at)| now.saturating_duration_since(*at));
         // Replies that are processed after a stall of this process are discarded because neither
         // their delay nor their load is current.
         let delay = delay.filter(|delay| *delay <= self.report_age);
@@ -188,7 +193,7 @@
     /// Returns the zones whose last report is fresh.
     ///
     /// An aggregator uses the reports that it has received. For other zones it uses the digest of
-    /// its predecessor.
+    /// the previous aggregator.
     pub fn zones(
         &self,
         now: Instant,
@@ -233,7 +238,7 @@
         entries.take(MAX_DIGEST_LOADS).collect()
     }
 
-    /// Discards outdated reports, requests and digests; returns the senders of rejected reports.
+    /// Discards outdated reports, queries and digests; returns the senders of rejected reports.
     pub fn tick(&mut self, now: Instant) -> ArrayVec<SocketAddrV4, MAX_REJECTED_SENDERS> {
         let report_age = self.report_age;
         let is_fresh = |at: Instant| now.saturating_duration_since(at) <= report_age;
@@ -241,7 +246,7 @@
             reports.retain(|host_report| is_fresh(host_report.received_at));
         }
         self.reports.retain(|_zone, reports| !reports.is_empty());
-        self.pending.retain(|(_sequence, at)| is_fresh(*at));
+        self.pending_queries.retain(|(_sequence, at)| is_fresh(*at));
         self.digest.take_if(|digest| !is_fresh(digest.received_at));
         std::mem::take(&mut self.rejected)
     }
--- a/packet/src/load/zone_load.rs
+++ b/packet/src/load/zone_load.rs
@@ -57,7 +57,7 @@
     /// The sender's zone.
     pub zone: ZoneName,
     /// Increases with each report of the sender's process. A reply repeats the sequence of its
-    /// request.
+    /// query.
     pub sequence: u64,
     /// Whether the sender requests a report of the receiver.
     pub wants_reply: bool,
@@ -95,7 +95,7 @@
     /// Time since the arrival of the zone's last report.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
-    /// Time from a request to its reply; `None` before the first reply.
+    /// Time from a query to its reply; `None` before the first reply.
     #[serde_as(as = "Option<DurationMicroSeconds<u64>>")]
     pub delay: Option<Duration>,
     /// The services that are contended in the receivers' zone.
--- a/packet/src/packet_action.rs
+++ b/packet/src/packet_action.rs
@@ -70,7 +70,7 @@
     Held,
     /// It has deregistered, or its lapsed registration has expired.
     Gone,
-    /// It was ejected, because attempts to reach it were not answered.
+    /// It was ejected, because it did not respond to several attempts.
     Avoided,
     /// It has responded again after an ejection.
     Answers,
@@ -90,7 +90,7 @@
         /// The service's end.
         service: SocketAddrV4,
         /// Number of the retransmission; 0 for the first SYN.
-        copy: u32,
+        transmission: u32,
         /// The selected upstream.
         upstream: UpstreamName,
         /// The upstream's availability zone.
@@ -113,7 +113,7 @@
         /// The service's end.
         service: SocketAddrV4,
         /// Number of the retransmission; 0 for the first SYN.
-        copy: u32,
+        transmission: u32,
         /// The upstream that would have been selected.
         upstream: UpstreamName,
         /// Estimated requests in progress at the upstream.
@@ -130,7 +130,7 @@
         /// Name of the service that the SYN was for.
         service_name: ServiceName,
         /// Number of the retransmission; 0 for the first SYN.
-        copy: u32,
+        transmission: u32,
         /// Priority class of the request.
         class: RequestClass,
         /// The reason.
@@ -142,7 +142,7 @@
         /// Requests in progress at the upstream, in thousandths.
         in_progress: u32,
         /// Load of the service.
-        room: ContentionState,
+        contention: ContentionState,
         /// Age of that load; `None` if the load is unknown.
         age: Option<Duration>,
         /// The version of the routes in force.
@@ -159,7 +159,7 @@
         /// Number of hosts of the zone whose counts the pressure includes.
         reporters: u32,
     },
-    /// The share of a service's new flows that leaves for another zone has changed.
+    /// The share of a service's new flows that is placed in another zone has changed.
     Spill {
         /// The service.
         service: ServiceName,
@@ -201,7 +201,7 @@
         took: Duration,
     },
     /// A caller has retransmitted a request without a response.
-    Repeated {
+    Retransmitted {
         /// The caller's end.
         caller: SocketAddrV4,
         /// The service's end.
@@ -212,7 +212,7 @@
         waited: Duration,
         /// Time since the upstream's last response; `None` before the first.
         heard_ago: Option<Duration>,
-        /// Attempts of all callers that the upstream has not answered since then.
+        /// Attempts of all callers that the upstream has not responded to since then.
         attempts: u32,
     },
     /// The state of an upstream has changed on this host.
@@ -226,7 +226,7 @@
         /// Consecutive unanswered attempts.
         attempts: u32,
         /// Outcomes of its recent requests through the hosts of the zone.
-        answers: OutcomeCounts,
+        outcomes: OutcomeCounts,
         /// Time since its last response; `None` before the first.
         heard_ago: Option<Duration>,
         /// The store's position up to which this host knows every change.
--- a/packet/src/packet_core.rs
+++ b/packet/src/packet_core.rs
@@ -69,7 +69,7 @@
 /// The state and the decisions of one entry host.
 pub struct PacketCore {
     /// The published state.
-    pub(crate) view: StateSnapshot,
+    pub(crate) snapshot: StateSnapshot,
     pub(crate) upstreams: UpstreamTable,
     pub(crate) routes: RouteTable,
     /// The flows that pass through this host.
@@ -90,9 +90,9 @@
     pub(crate) last_event: Option<Instant>,
     pub(crate) feed: StoreFeed,
     /// How this host obtains its first state.
-    pub(crate) start: StartPlan,
-    /// Whether the store answered this host's last call; false before its first call as the reader
-    /// of the zone.
+    pub(crate) start_plan: StartPlan,
+    /// Whether the store responded to this host's last call; false before its first call as the
+    /// reader of the zone.
     pub(crate) store_reachable: bool,
     /// Since when the published state has been in sync with the store, read directly or through the
     /// zone's reader; `None` if it is not.
@@ -112,7 +112,7 @@
     /// Creates a host without any state.
     pub fn new(settings: &HostSettings, config: PolicyConfig) -> Self {
         Self {
-            view: StateSnapshot::default(),
+            snapshot: StateSnapshot::default(),
             upstreams: UpstreamTable::new(settings.zone.clone(), settings.max_flow_age, config),
             routes: RouteTable::default(),
             flow_tracker: FlowTracker::default(),
@@ -131,7 +131,7 @@
             role: ReadRole::new(settings.peer_address, &settings.zone, settings.capacity),
             last_event: None,
             feed: StoreFeed::default(),
-            start: StartPlan::new(*settings.peer_address.ip()),
+            start_plan: StartPlan::new(*settings.peer_address.ip()),
             store_reachable: false,
             synced_since: None,
             version: 0,
@@ -144,12 +144,12 @@
 
     /// Whether this host holds a complete state, so that it can place flows.
     pub fn is_ready(&self) -> bool {
-        self.view.is_complete()
+        self.snapshot.is_complete()
     }
 
     /// The published state that this host holds.
-    pub fn view(&self) -> &StateSnapshot {
-        &self.view
+    pub fn snapshot(&self) -> &StateSnapshot {
+        &self.snapshot
     }
 
     /// The upstreams that this host knows.
@@ -168,7 +168,7 @@
         self.peers.set_seeds(settings.seed_peers.clone());
         self.zones.clone_from(&settings.zones);
         self.warmup_tolerance = settings.warmup_tolerance;
-        if let Some(config) = self.view.routes().cloned() {
+        if let Some(config) = self.snapshot.routes().cloned() {
             self.apply_warmups(&config);
         }
     }
@@ -197,7 +197,7 @@
         self.load.reset();
         self.dispatch = DispatchState::default();
         self.spill.reset();
-        self.admission.restart(now);
+        self.admission.handle_stall(now);
         self.flow_tracker.reset_waits(now);
     }
 
@@ -216,13 +216,13 @@
             self.record_evacuation(&zone, false, output);
         }
         self.claim_warmups(now);
-        let idle = self.view.routes().map(|routes| routes.flow_idle);
-        let avoided = self.flow_tracker.tick(now, idle, &mut self.upstreams);
-        for index in avoided {
+        let idle = self.snapshot.routes().map(|routes| routes.flow_idle);
+        let ejected = self.flow_tracker.tick(now, idle, &mut self.upstreams);
+        for index in ejected {
             self.record_upstream(now, index, UpstreamChange::Avoided, output);
         }
         for index in self.upstreams.detect_outliers(now) {
-            let change = match self.upstreams.get(index).answers.is_failing() {
+            let change = match self.upstreams.get(index).outlier_detector.is_failing() {
                 true => UpstreamChange::Failing,
                 false => UpstreamChange::Serving,
             };
@@ -271,9 +271,9 @@
     }
 
     /// Handles a packet from a caller, and adds the resulting actions and events to the output.
-    pub fn packet(&mut self, now: Instant, head: &PacketHead, output: &mut PacketOutput) {
+    pub fn handle_packet(&mut self, now: Instant, head: &PacketHead, output: &mut PacketOutput) {
         self.detect_stall(now);
-        if !self.view.is_complete() {
+        if !self.snapshot.is_complete() {
             output.actions.push(PacketAction::Drop {
                 code: ResultCode::NoConfig,
             });
@@ -306,11 +306,11 @@
                 .flow_tracker
                 .syn_retransmitted(now, &key, &mut self.upstreams),
         };
-        for index in observations.avoided.iter().copied() {
+        for index in observations.ejected.iter().copied() {
             self.record_upstream(now, index, UpstreamChange::Avoided, output);
         }
         let local_hosts = self.peers.local_hosts(now) as u32;
-        let room = self.load.room(now, service);
+        let contention = self.load.contention(now, service);
         let spill_zone = self.spill.target(service, flow_hash).cloned();
         let query = SelectionQuery {
             now,
@@ -318,7 +318,7 @@
             flow_hash,
             tried: &observations.tried,
             local_hosts,
-            room,
+            contention,
             spill_zone: spill_zone.as_ref(),
         };
         let Some(mut selection) = select_upstream(&self.upstreams, query) else {
@@ -330,13 +330,13 @@
             head,
             flow_hash,
             service,
-            room,
+            contention,
             observations: &observations,
             upstream: selection.first,
             has_free_slot: selection.has_free_slot,
             is_dispatched: false,
         };
-        if room.is_contended && query.spill_zone.is_none() {
+        if contention.is_contended && query.spill_zone.is_none() {
             match self.dispatch_syn(now, syn, output) {
                 DispatchStep::Wait => return,
                 step @ (DispatchStep::Defer | DispatchStep::Refuse) => {
@@ -358,7 +358,7 @@
                 DispatchStep::Local => {}
             }
         }
-        if !room.is_contended && self.defers_late_syn(now, syn, output) {
+        if !contention.is_contended && self.defers_late_syn(now, syn, output) {
             return;
         }
         if !self.admits_class(now, syn, output) {
@@ -366,7 +366,7 @@
         }
         let second = selection
             .second
-            .filter(|second| self.admits_hedge(now, room, *second));
+            .filter(|second| self.admits_hedge(now, contention, *second));
         self.record_placed(
             now,
             head,
@@ -389,7 +389,7 @@
     }
 
     /// Selects an upstream in another zone for a new flow that finds no capacity in this one.
-    /// Returns `None` if no flows of the service leave for another zone, or if that zone has no
+    /// Returns `None` if no flows of the service spill to another zone, or if that zone has no
     /// usable upstream.
     fn overflow_selection(&self, query: SelectionQuery<'_>) -> Option<FlowSelection> {
         let zone = self.spill.overflow_target(query.service, query.flow_hash)?;
@@ -398,8 +398,8 @@
             ..query
         };
         let selection = select_upstream(&self.upstreams, query)?;
-        let left = self.upstreams.get(selection.first).zone == *zone;
-        left.then_some(selection)
+        let is_in_zone = self.upstreams.get(selection.first).zone == *zone;
+        is_in_zone.then_some(selection)
     }
 
     /// Whether a late SYN retransmission is deferred to the caller's next one, since the upstream
@@ -411,20 +411,20 @@
         output: &mut PacketOutput,
     ) -> bool {
         let head = syn.head;
-        let best = self.upstreams.get(syn.upstream);
-        let opening = SynDeferralQuery {
-            copy: head.ack,
-            target: self.routes.target(head.service),
+        let record = self.upstreams.get(syn.upstream);
+        let query = SynDeferralQuery {
+            transmission: head.ack,
+            objective: self.routes.objective(head.service),
             placed_before: !syn.observations.tried.is_empty(),
-            requests: best.requests(self.peers.local_hosts(now) as u32),
-            slots: best.slots,
+            requests: record.requests(self.peers.local_hosts(now) as u32),
+            slots: record.slots,
         };
-        if !is_deferred(&self.upstreams.config().admission, &opening) {
+        if !is_deferred(&self.upstreams.config().admission, &query) {
             return false;
         }
         let code = ResultCode::QueueFull;
         output.actions.push(PacketAction::Drop { code });
-        self.record_deferred(head, syn.upstream, opening, output);
+        self.record_deferred(head, syn.upstream, query, output);
         true
     }
 
@@ -456,7 +456,7 @@
     fn handle_in_flow(&mut self, now: Instant, head: &PacketHead, output: &mut PacketOutput) {
         let key = FlowKey::of(head);
         if !self.routes.contains(head.service) {
-            self.flow_tracker.end(&key, &mut self.upstreams);
+            self.flow_tracker.remove_flow(&key, &mut self.upstreams);
             self.refuse(head, None, ResultCode::ServiceUnknown, output);
             return;
         }
@@ -469,14 +469,14 @@
             self.upstreams.pool(service).is_contended
         };
         let before = is_contended.then(|| self.waiting_upstream(&key)).flatten();
-        let observations = self
-            .flow_tracker
-            .packet(now, key, head, index, &mut self.upstreams);
+        let observations =
+            self.flow_tracker
+                .handle_packet(now, key, head, index, &mut self.upstreams);
         if is_contended {
-            let answered = observations.answered.is_some();
+            let answered = observations.response_time.is_some();
             self.report_request(now, &key, flow_hash(&key), before, answered);
         }
-        if let Some(took) = observations.answered {
+        if let Some(took) = observations.response_time {
             output.events.push(DecisionEvent::Answered { took });
             self.record_request(now, head, index, RequestEnd::Answered(took));
         }
@@ -486,18 +486,18 @@
         if observations.failed {
             self.record_request(now, head, index, RequestEnd::Failed);
         }
-        if let Some(waited) = observations.repeated {
-            self.record_repeated(now, head, index, waited, output);
+        if let Some(waited) = observations.retransmitted_after {
+            self.record_retransmission(now, head, index, waited, output);
         }
         if observations.recovered {
             self.upstreams.restart_warmup(now, index);
             self.record_upstream(now, index, UpstreamChange::Answers, output);
         }
-        if observations.avoided {
+        if observations.ejected {
             self.record_upstream(now, index, UpstreamChange::Avoided, output);
         }
         if head.data_len > 0 && self.is_lost(now, index) {
-            self.flow_tracker.end(&key, &mut self.upstreams);
+            self.flow_tracker.remove_flow(&key, &mut self.upstreams);
             self.refuse(head, Some(index), ResultCode::UpstreamSilent, output);
             return;
         }
@@ -524,13 +524,13 @@
     /// open new flows at once instead of waiting for their deadlines.
     fn is_lost(&self, now: Instant, index: UpstreamIndex) -> bool {
         let record = self.upstreams.get(index);
-        let former = matches!(record.registration, RegistrationState::Deregistered { .. });
-        if former {
+        let is_deregistered = matches!(record.registration, RegistrationState::Deregistered { .. });
+        if is_deregistered {
             let last = record.failure_detector.last_response();
-            let answers = last.is_some_and(|last_response| {
+            let is_responding = last.is_some_and(|last_response| {
                 now.saturating_duration_since(last_response) < MAX_DEREGISTERED_SILENCE
             });
-            return !answers && self.synced_since.is_some();
+            return !is_responding && self.synced_since.is_some();
         }
         let is_silent = |record: &UpstreamRecord| record.failure_detector.is_ejected();
         let config = &self.upstreams.config().detector;
--- a/packet/src/packet_status.rs
+++ b/packet/src/packet_status.rs
@@ -147,7 +147,7 @@
     pub address: SocketAddrV4,
     /// State of its registration: `ready`, `draining`, `lapsed` or `deregistered`.
     pub registration: SmolStr,
-    /// Whether it is ejected, because attempts to reach it were not answered.
+    /// Whether it is ejected, because it did not respond to several attempts.
     pub avoided: bool,
     /// Whether it is ejected, because too many of its requests failed.
     #[serde(default)]
@@ -179,10 +179,10 @@
             .collect();
         upstreams.sort_by(|left, right| left.name.cmp(&right.name));
         Self {
-            version: core.view().routes().map(|routes| routes.version),
-            era: core.view().through().era,
-            through: core.view().through().revision,
-            peers: core.peers().alive_hosts(now),
+            version: core.snapshot().routes().map(|routes| routes.version),
+            era: core.snapshot().through().era,
+            through: core.snapshot().through().revision,
+            peers: core.peers().live_hosts(now),
             reads: core.reads(),
             reader: core.zone_reader(now),
             flows: core.flow_tracker().open_flows(),
@@ -196,7 +196,7 @@
 }
 
 fn route_statuses(core: &PacketCore) -> Vec<RouteStatus> {
-    let config = core.view().routes();
+    let config = core.snapshot().routes();
     let routes = config.iter().flat_map(|config| &config.routes);
     let mut statuses: Vec<RouteStatus> = routes.map(route_status).collect();
     statuses.sort_by_key(|status| status.address);
@@ -205,7 +205,7 @@
 
 /// The services that have routes, sorted by name.
 pub fn service_statuses(core: &PacketCore, now: Instant) -> Vec<ServiceStatus> {
-    let config = core.view().routes();
+    let config = core.snapshot().routes();
     let routes = config.iter().flat_map(|config| &config.routes);
     let mut priorities: BTreeMap<&ServiceName, BTreeSet<RequestPriority>> = BTreeMap::new();
     for route in routes {
@@ -219,12 +219,12 @@
         let Some(priorities) = priorities.get(&pool.name) else {
             continue;
         };
-        let room = core.load().room(now, service);
-        let updated_at = room.updated_at;
+        let contention = core.load().contention(now, service);
+        let updated_at = contention.updated_at;
         statuses.push(ServiceStatus {
             name: pool.name.clone(),
-            contended: room.is_contended,
-            pressure: room.pressure,
+            contended: contention.is_contended,
+            pressure: contention.pressure,
             measured_ago: updated_at.map(|at| now.saturating_duration_since(at)),
             classes: class_statuses(priorities),
         });
@@ -293,7 +293,7 @@
         address: record.address,
         registration: registration.into(),
         avoided: record.failure_detector.is_ejected(),
-        failing: record.answers.is_failing(),
+        failing: record.outlier_detector.is_failing(),
         flows: record.flows,
         waiting: record.waiting,
         heard_ago: last_response.map(|last_response| now.saturating_duration_since(last_response)),
--- a/packet/src/peers/peer_heartbeat.rs
+++ b/packet/src/peers/peer_heartbeat.rs
@@ -35,7 +35,7 @@
 pub struct PeerHeartbeat {
     /// The zone of the sender.
     pub zone: ZoneName,
-    /// Whether the sender reads the store for its zone and its last call was answered.
+    /// Whether the sender reads the store for its zone and the store responded to its last call.
     pub reads: bool,
     /// CPU capacity of the sender in thousandths of a core.
     pub capacity: u32,
--- a/packet/src/peers/peer_record.rs
+++ b/packet/src/peers/peer_record.rs
@@ -87,11 +87,11 @@
     /// Merges failure reports of the peer, which arrive before its next heartbeat.
     pub(crate) fn handle_failure_reports(&mut self, reports: &[FailureReport]) {
         for report in reports {
-            let room = self.reports.len() < MAX_UPSTREAM_REPORTS + MAX_FAILURE_REPORTS;
+            let has_capacity = self.reports.len() < MAX_UPSTREAM_REPORTS + MAX_FAILURE_REPORTS;
             let known = self.reports.iter_mut().find(|held| held.tag == report.tag);
             match known {
                 Some(held) => held.answers = report.answers,
-                None if room => self.reports.push(UpstreamReport {
+                None if has_capacity => self.reports.push(UpstreamReport {
                     tag: report.tag,
                     flows: 0,
                     heard_ago: None,
--- a/packet/src/peers/peer_rounds.rs
+++ b/packet/src/peers/peer_rounds.rs
@@ -94,7 +94,7 @@
 impl PeerTable {
     /// Returns the targets of a heartbeat round, or `None` if no round is due. A host that reads
     /// the store sends to all hosts of its zone, and to the readers of other zones.
-    pub fn round(
+    pub fn due_round(
         &mut self,
         now: Instant,
         reads: bool,
@@ -206,7 +206,7 @@
     }
 
     /// Whether no other host of the own zone is alive.
-    pub fn seeks(&self, now: Instant) -> bool {
+    pub fn lacks_local_peer(&self, now: Instant) -> bool {
         self.live_addresses(now, |peer| peer.zone == self.zone)
             .is_empty()
     }
@@ -265,7 +265,7 @@
         now: Instant,
         predicate: impl Fn(&PeerRecord) -> bool,
     ) -> Vec<SocketAddrV4> {
-        self.alive_peers(now)
+        self.live_peers(now)
             .filter(|(_address, peer)| predicate(peer))
             .map(|(address, _peer)| address)
             .collect()
--- a/packet/src/peers/peer_table.rs
+++ b/packet/src/peers/peer_table.rs
@@ -73,7 +73,7 @@
     }
 
     /// Merges a heartbeat and the addresses that it names.
-    pub fn heard(
+    pub fn merge_heartbeat(
         &mut self,
         now: Instant,
         from: SocketAddrV4,
@@ -98,7 +98,7 @@
             outcome.hellos.push(from);
         }
         self.evict_for_reader(&heartbeat.zone, heartbeat.reads);
-        if self.has_room(from, &heartbeat.zone) {
+        if self.has_capacity_for(from, &heartbeat.zone) {
             let record = self
                 .peers
                 .entry(from)
@@ -126,7 +126,7 @@
 
     /// Number of live hosts of the own zone that accept packets, including this one.
     pub fn local_hosts(&self, now: Instant) -> usize {
-        let local = self.alive_peers(now);
+        let local = self.live_peers(now);
         1 + local
             .filter(|(_address, peer)| peer.ready && peer.zone == self.zone)
             .count()
@@ -152,7 +152,7 @@
 
     /// The live hosts of the own zone, except this one.
     pub fn local_addresses(&self, now: Instant) -> Vec<SocketAddrV4> {
-        let local = self.alive_peers(now);
+        let local = self.live_peers(now);
         local
             .filter(|(_address, peer)| peer.zone == self.zone)
             .map(|(address, _peer)| address)
@@ -162,7 +162,7 @@
     /// The other live hosts of the own zone that accept packets, with their capacity in thousandths
     /// of a core.
     pub fn local_candidates(&self, now: Instant) -> impl Iterator<Item = (SocketAddrV4, u32)> {
-        let local = self.alive_peers(now);
+        let local = self.live_peers(now);
         local
             .filter(|(_address, peer)| peer.ready && peer.zone == self.zone)
             .map(|(address, peer)| (address, peer.capacity))
@@ -187,9 +187,9 @@
     }
 
     /// The live hosts of each other zone that accept packets, by descending capacity; at most
-    /// `most` per zone.
-    pub fn largest_remote(&self, now: Instant, most: usize) -> Vec<SocketAddrV4> {
-        let ready = self.alive_peers(now).filter(|(_address, peer)| {
+    /// `max_per_zone` per zone.
+    pub fn largest_remote(&self, now: Instant, max_per_zone: usize) -> Vec<SocketAddrV4> {
+        let ready = self.live_peers(now).filter(|(_address, peer)| {
             peer.ready && peer.zone != self.zone && !peer.zone.is_empty()
         });
         let mut hosts: Vec<_> = ready
@@ -198,7 +198,7 @@
         hosts.sort_unstable();
         let zones = hosts.chunk_by(|one, other| one.0 == other.0);
         zones
-            .flat_map(|hosts| hosts.iter().take(most))
+            .flat_map(|hosts| hosts.iter().take(max_per_zone))
             .map(|(_zone, _capacity, address)| *address)
             .collect()
     }
@@ -228,8 +228,8 @@
     }
 
     /// Number of live peers.
-    pub fn alive_hosts(&self, now: Instant) -> usize {
-        self.alive_peers(now).count()
+    pub fn live_hosts(&self, now: Instant) -> usize {
+        self.live_peers(now).count()
     }
 
     /// The reports of the live hosts of the own zone, each with its time of arrival.
@@ -237,14 +237,14 @@
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (Instant, &[UpstreamReport])> {
-        self.alive_peers(now).filter_map(|(_address, peer)| {
+        self.live_peers(now).filter_map(|(_address, peer)| {
             let reports_at = peer.reports_at?;
             (peer.zone == self.zone).then_some((reports_at, peer.reports.as_slice()))
         })
     }
 
     /// Peers whose last heartbeat is within [`local_timeout`] or [`remote_timeout`].
-    pub(crate) fn alive_peers(
+    pub(crate) fn live_peers(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (SocketAddrV4, &PeerRecord)> {
@@ -280,19 +280,19 @@
 
     fn add_named(&mut self, now: Instant, address: SocketAddrV4, zone: ZoneName) {
         let is_new = address != self.own && !self.peers.contains_key(&address);
-        if is_new && self.has_room(address, &zone) {
+        if is_new && self.has_capacity_for(address, &zone) {
             self.peers.insert(address, PeerRecord::named(now, zone));
         }
     }
 
-    fn has_room(&self, address: SocketAddrV4, zone: &ZoneName) -> bool {
+    fn has_capacity_for(&self, address: SocketAddrV4, zone: &ZoneName) -> bool {
         let local = self.local_count();
-        let room = if *zone == self.zone {
+        let has_capacity = if *zone == self.zone {
             local < MAX_LOCAL_PEERS
         } else {
             self.peers.len() - local < MAX_REMOTE_PEERS
         };
-        room || self.peers.contains_key(&address)
+        has_capacity || self.peers.contains_key(&address)
     }
 
     /// Evicts the remote peer that expires first if the table is full and the new peer is a remote
--- a/packet/src/policy_config.rs
+++ b/packet/src/policy_config.rs
@@ -37,7 +37,7 @@
     /// Admission by priority class.
     pub classes: ClassAdmissionConfig,
     /// Selection by load while a service is contended.
-    pub room: LoadWeightConfig,
+    pub load_weight: LoadWeightConfig,
     /// Expected load of new flows.
     pub costs: FlowCostConfig,
     /// Spill to other zones.
--- a/packet/src/routes/route_config.rs
+++ b/packet/src/routes/route_config.rs
@@ -111,8 +111,8 @@
     /// Services that share the new flows; never empty, and the sum of the weights is greater than
     /// 0.
     pub shares: Vec<ServiceShare>,
-    /// Target response time, counted from the caller's first packet; `None` if the operators
-    /// publish none.
+    /// Latency objective, counted from the caller's first packet; `None` if the operators publish
+    /// none.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(default)]
     pub target: Option<Duration>,
--- a/packet/src/routes/route_table.rs
+++ b/packet/src/routes/route_table.rs
@@ -42,7 +42,7 @@
 struct RouteRecord {
     /// Shares with a weight above 0; never empty, `end` ascends.
     shares: Vec<RouteShare>,
-    target: Option<Duration>,
+    objective: Option<Duration>,
     timeout: Option<Duration>,
 }
 
@@ -75,7 +75,7 @@
                 .collect();
             let record = RouteRecord {
                 shares,
-                target: route.target,
+                objective: route.target,
                 timeout: route.timeout,
             };
             routes.insert(route.address, record);
@@ -91,18 +91,18 @@
         self.routes.contains_key(&address)
     }
 
-    /// Returns the target response time of requests to this address, if the operators publish one.
-    pub fn target(&self, address: SocketAddrV4) -> Option<Duration> {
-        self.routes.get(&address)?.target
+    /// Returns the latency objective of requests to this address, if the operators publish one.
+    pub fn objective(&self, address: SocketAddrV4) -> Option<Duration> {
+        self.routes.get(&address)?.objective
     }
 
-    /// Returns the shortest target response time of the routes to a service, if the operators
-    /// publish one.
-    pub fn service_target(&self, service: ServiceIndex) -> Option<Duration> {
+    /// Returns the shortest latency objective of the routes to a service, if the operators publish
+    /// one.
+    pub fn service_objective(&self, service: ServiceIndex) -> Option<Duration> {
         let leads_to_service =
             |route: &&RouteRecord| route.shares.iter().any(|share| share.service == service);
         let routes = self.routes.values().filter(leads_to_service);
-        routes.filter_map(|route| route.target).min()
+        routes.filter_map(|route| route.objective).min()
     }
 
     /// Returns how long callers of this address wait for a response, if the operators publish it.
--- a/packet/src/selection/load_weight.rs
+++ b/packet/src/selection/load_weight.rs
@@ -113,7 +113,7 @@
 impl MeasuredWeight {
     /// Moves the weight towards that of a new measurement. Does nothing if the weight has not been
     /// initialized, if the measurement is not new, or if the previous one was too long ago.
-    pub fn learn(
+    pub fn update(
         &mut self,
         config: &LoadWeightConfig,
         slots: u32,
@@ -137,7 +137,7 @@
     /// Initializes the weight to `mean_weight` per slot unless it already includes the latest
     /// measurement. A new, empty upstream weighted by its own load would get the new flows of all
     /// hosts until the next measurement.
-    pub fn start(&mut self, slots: u32, mean_weight: f64, load: &UpstreamLoad) {
+    pub fn initialize(&mut self, slots: u32, mean_weight: f64, load: &UpstreamLoad) {
         if load.updated_at.is_some() && load.updated_at != self.measured_at {
             self.weight = f64::from(slots.max(1)) * mean_weight;
             self.measured_at = load.updated_at;
--- a/packet/src/selection/upstream_selection.rs
+++ b/packet/src/selection/upstream_selection.rs
@@ -47,7 +47,7 @@
     /// Upstreams that an earlier SYN of the flow went to.
     pub tried: &'a [UpstreamIndex],
     /// Contention state and load of the service.
-    pub room: ContentionState,
+    pub contention: ContentionState,
     /// The other zone that the flow is sent to; `None` if it is not spilled.
     pub spill_zone: Option<&'a ZoneName>,
 }
@@ -122,7 +122,7 @@
     Some(FlowSelection {
         first,
         second,
-        has_free_slot: sampled.has_free_slot || !query.room.is_contended,
+        has_free_slot: sampled.has_free_slot || !query.contention.is_contended,
     })
 }
 
@@ -154,7 +154,7 @@
         && is_panic(table, query.service, UpstreamRecord::is_degraded);
     let mut sampled = SampledUpstreams::default();
     sampled.consider_all(table, local, query, panic);
-    if query.room.is_contended && !sampled.has_capacity {
+    if query.contention.is_contended && !sampled.has_capacity {
         sampled.mark_saturated();
     }
     if !sampled.is_sufficient(table) {
@@ -166,8 +166,8 @@
 
 /// Returns the maximum number of upstreams of a zone that are sampled for this flow.
 fn max_sampled(table: &UpstreamTable, query: SelectionQuery<'_>) -> usize {
-    match query.room.is_contended {
-        true => table.config().room.max_sampled,
+    match query.contention.is_contended {
+        true => table.config().load_weight.max_sampled,
         false => table.config().selection.max_sampled,
     }
 }
@@ -184,7 +184,7 @@
     let record = table.get(runner_up.index);
     let suspected = config.hedges_suspected && table.get(first).failure_detector.is_suspected();
     let has_free_slot = record.requests(query.local_hosts) < record.slots;
-    let is_uncontended = !query.room.is_contended;
+    let is_uncontended = !query.contention.is_contended;
     let healthy =
         is_uncontended && config.hedges_healthy && !runner_up.key.degraded && has_free_slot;
     let hedges = !table.is_warming(query.now, record) && (suspected || healthy);
@@ -254,9 +254,9 @@
     ) {
         let pool = table.pool(query.service);
         let connection_limit = pool.connection_limit;
-        let max_load_age = table.config().room.max_load_age;
+        let max_load_age = table.config().load_weight.max_load_age;
         let is_measured = |at: Instant| query.now.saturating_duration_since(at) < max_load_age;
-        let has_digest = query.room.updated_at.is_some_and(is_measured);
+        let has_digest = query.contention.updated_at.is_some_and(is_measured);
         let mean_weight = has_digest.then_some(pool.mean_weight);
         for index in members {
             let record = table.get(index);
@@ -273,8 +273,8 @@
                 self.probe = Some(index);
             }
             let is_at_limit =
-                is_at_connection_limit(&table.config().room, record, connection_limit);
-            let key = if query.room.is_contended {
+                is_at_connection_limit(&table.config().load_weight, record, connection_limit);
+            let key = if query.contention.is_contended {
                 let rank =
                     contended_rank(table, record, index, query, panic, is_at_limit, mean_weight);
                 self.has_free_slot |= rank.has_free_slot;
@@ -302,14 +302,14 @@
     ) -> Option<SelectionKey> {
         let tag = record.tag.unwrap_or_default();
         let hash = rendezvous_weight(flow_hash, u64::from(tag));
-        let is_beaten = self.runner_up.is_some_and(|other| {
+        let is_outranked = self.runner_up.is_some_and(|other| {
             let key = SelectionKey {
                 load: other.key.load,
                 ..rank.key
             };
             key >= other.key && is_drawn_after(hash, rank.weight, other.key.load)
         });
-        (!is_beaten).then(|| SelectionKey {
+        (!is_outranked).then(|| SelectionKey {
             load: draw_rank(hash, rank.weight),
             ..rank.key
         })
@@ -388,10 +388,11 @@
     mean_weight: Option<f64>,
 ) -> UpstreamRank {
     let config = table.config();
-    let in_progress = estimated_in_progress(&config.room, record, query.now, query.local_hosts);
+    let in_progress =
+        estimated_in_progress(&config.load_weight, record, query.now, query.local_hosts);
     let cold_load = config.selection.cold_load;
     let weight = upstream_weight(
-        &config.room,
+        &config.load_weight,
         cold_load,
         record,
         in_progress,
--- a/packet/src/selection/zone_spill.rs
+++ b/packet/src/selection/zone_spill.rs
@@ -352,7 +352,7 @@
         }
         let report = ZoneLoadReport {
             zone: self.zone.clone(),
-            sequence: self.exchange.ask(now),
+            sequence: self.exchange.start_query(now),
             wants_reply: true,
             services: input.services.iter().map(service_load).collect(),
         };
@@ -362,23 +362,32 @@
         }]
     }
 
-    /// Merges the report of another zone. Returns true if it asks for a reply.
-    pub fn heard(&mut self, now: Instant, from: SocketAddrV4, report: &ZoneLoadReport) -> bool {
-        self.exchange.heard(now, from, report)
+    /// Merges the report of another zone. Returns whether it requests a reply.
+    pub fn handle_report(
+        &mut self,
+        now: Instant,
+        from: SocketAddrV4,
+        report: &ZoneLoadReport,
+    ) -> bool {
+        self.exchange.handle_report(now, from, report)
     }
 
     /// Returns the reply to the report of another zone, with the services that the report contains
     /// and those that are contended here.
-    pub fn reply(&self, asked: &ZoneLoadReport, services: &[LocalLoad]) -> ZoneLoadReport {
-        let is_asked = |local: &&LocalLoad| {
-            let mut loads = asked.services.iter();
+    pub fn reply_to(&self, query: &ZoneLoadReport, services: &[LocalLoad]) -> ZoneLoadReport {
+        let is_wanted = |local: &&LocalLoad| {
+            let mut loads = query.services.iter();
             local.is_contended || loads.any(|load| load.service == local.tag)
         };
         let report = ZoneLoadReport {
             zone: self.zone.clone(),
-            sequence: asked.sequence,
+            sequence: query.sequence,
             wants_reply: false,
-            services: services.iter().filter(is_asked).map(service_load).collect(),
+            services: services
+                .iter()
+                .filter(is_wanted)
+                .map(service_load)
+                .collect(),
         };
         report.truncated_to_fit()
     }
@@ -530,8 +539,8 @@
             let has_share = shares.any(|share| share.zone == *target.zone && share.share > 0);
             target.may_increase || (target.may_keep && has_share)
         };
-        let has_room = local.slots > 0 && local.is_contended;
-        let targets = targets.iter().filter(|_target| has_room);
+        let may_spill = local.slots > 0 && local.is_contended;
+        let targets = targets.iter().filter(|_target| may_spill);
         let targets: Vec<SpillTarget<'_>> = targets.filter(is_eligible).copied().collect();
         let balanced = balanced_shares(config, &targets, demand, total, local.slots);
         for share in &mut self.shares {
--- a/packet/src/state/read_role.rs
+++ b/packet/src/state/read_role.rs
@@ -61,7 +61,7 @@
     TakesOver,
     /// It stopped reading because a better host reads.
     StepsDown,
-    /// It stopped reading because the store does not answer it and another host reads.
+    /// It stopped reading because the store does not respond to it and another host reads.
     TurnedAway,
 }
 
@@ -105,26 +105,26 @@
     }
 
     /// Records the start of the host; only the first call has an effect.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn record_start(&mut self, now: Instant) {
         let (_capacity, Reverse(weight)) = self.own_rank;
         self.not_before
             .get_or_insert_with(|| now + DISCOVERY_WAIT + start_jitter(weight));
     }
 
-    /// Records that the store did not answer this host.
+    /// Records that the store did not respond to this host.
     pub fn store_lost(&mut self, now: Instant) {
         self.no_takeover_until = Some(now + TAKEOVER_BACKOFF);
     }
 
     /// Updates the role and returns the change, if any. `store_reachable` is whether the store
-    /// answered this host's last call.
+    /// responded to this host's last call.
     pub fn decide(
         &mut self,
         now: Instant,
         peers: &PeerTable,
         store_reachable: bool,
     ) -> Option<RoleChange> {
-        self.begin(now);
+        self.record_start(now);
         let readers = peers.readers(now, &self.zone);
         let best_reader = readers
             .map(|(address, capacity)| rank(self.zone_key, address, capacity))
--- a/packet/src/state/start_plan.rs
+++ b/packet/src/state/start_plan.rs
@@ -105,7 +105,7 @@
     }
 
     /// Records that a state was requested from a peer, which defers the listing.
-    pub fn asked(&mut self, now: Instant) {
+    pub fn state_requested(&mut self, now: Instant) {
         let timeout_at = now + STATE_TIMEOUT;
         let latest_list_at = self
             .latest_list_at
@@ -117,7 +117,7 @@
     }
 
     /// Records that a peer sent no state, which makes the listing due unless one was abandoned.
-    pub fn refused(&mut self, now: Instant) {
+    pub fn state_refused(&mut self, now: Instant) {
         if !self.has_abandoned {
             self.list_at = Some(now);
         }
--- a/packet/src/state/state_source.rs
+++ b/packet/src/state/state_source.rs
@@ -32,9 +32,9 @@
 /// How a host currently obtains the published state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncState {
-    /// It has no state, and the store has not answered.
+    /// It has no state, and the store has not responded.
     Empty,
-    /// It has no state yet, and the store has begun to answer.
+    /// It has no state yet, and the store has begun to respond.
     Listing,
     /// It reads the store for its zone.
     Reading,
@@ -66,11 +66,11 @@
     /// The peer from which to request missing state now; `None` if no request is due.
     ///
     /// Peers that recently failed to send a state are skipped. The most advanced peer is chosen,
-    /// then one of the own zone, then by rendezvous weight, so that hosts do not all ask the same
+    /// then one of the own zone, then by rendezvous weight, so that hosts do not all query the same
     /// peer. A host without a state prefers its own zone even if others are ahead: a whole state
     /// from another zone crosses a costly link, and the rest follows as a delta. `state` determines
     /// how long the host waits for its usual source first.
-    pub fn source(
+    pub fn state_source(
         &mut self,
         now: Instant,
         held: &StateQuery,
@@ -78,7 +78,7 @@
     ) -> Option<SocketAddrV4> {
         let own_key = address_key(self.own);
         let source = self
-            .alive_peers(now)
+            .live_peers(now)
             .filter(|(_address, peer)| peer.is_ahead_of(held) && peer.may_serve_state(now))
             .max_by_key(|(address, peer)| {
                 let weight = rendezvous_weight(own_key, address_key(*address));
--- a/packet/src/state/store_feed.rs
+++ b/packet/src/state/store_feed.rs
@@ -30,7 +30,7 @@
 
 /// Timeout of a store call; for a watch, in addition to its wait. The store responds in 4 ms, and
 /// in 360 ms when it is slow.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Pause after a watch that returned changes, so that the changes of a rolling update are read in
 /// batches. Each call has a cost, and changes need to be in force only within seconds.
@@ -52,8 +52,8 @@
         /// The connection error.
         reason: String,
     },
-    /// The store did not answer in time.
-    #[snafu(display("the store did not answer in time"))]
+    /// The store did not respond in time.
+    #[snafu(display("the store did not respond in time"))]
     TimedOut,
     /// The list arrived so slowly that this host abandoned it.
     #[snafu(display("the store's list comes in slowly"))]
@@ -75,16 +75,16 @@
     },
     /// The response is of an earlier state than the store has returned before.
     #[snafu(display(
-        "the store's answer is at position {answered}, before the known position {known}"
+        "the store's response is at position {received}, before the known position {known}"
     ))]
     Regressed {
         /// The position of the response.
-        answered: StorePosition,
+        received: StorePosition,
         /// The position that the store has returned before.
         known: StorePosition,
     },
     /// The response cannot be decoded.
-    #[snafu(display("the store's answer cannot be decoded: {reason}"))]
+    #[snafu(display("the store's response cannot be decoded: {reason}"))]
     Malformed {
         /// The decoding error.
         reason: String,
@@ -156,8 +156,8 @@
     watch_after: Option<StorePosition>,
     /// Latest position that the store could not continue; a state at or before it needs the list.
     refused_position: StorePosition,
-    /// Whether the store answered the last call.
-    last_call_answered: bool,
+    /// Whether the store responded to the last call.
+    last_call_succeeded: bool,
     /// Position of the first page of the list in progress; `None` between lists.
     list_position: Option<StorePosition>,
     next_after: Option<SmolStr>,
@@ -177,7 +177,7 @@
         match self.watch_after {
             Some(after) => FeedStep::Watch {
                 after,
-                wait: if self.last_call_answered {
+                wait: if self.last_call_succeeded {
                     WATCH_WAIT
                 } else {
                     FIRST_WATCH_WAIT
@@ -200,8 +200,8 @@
 
     /// Records that this host starts or stops reading. The next call is due at once, and a watch
     /// uses [`FIRST_WATCH_WAIT`], because earlier responses say nothing about it.
-    pub fn pause(&mut self) {
-        self.last_call_answered = false;
+    pub fn restart_calls(&mut self) {
+        self.last_call_succeeded = false;
         self.next_call_at = None;
     }
 
@@ -209,16 +209,16 @@
     ///
     /// Fails if the page is of another era than those before it, or if the list is older than a
     /// position that the store could not continue.
-    pub fn listed(&mut self, page: ListPage) -> Result<Option<StateUpdate>, StoreFault> {
+    pub fn accept_page(&mut self, page: ListPage) -> Result<Option<StateUpdate>, StoreFault> {
         let through = self.list_position.unwrap_or(page.position);
         check_era(page.position, through)?;
         if through < self.refused_position {
             return Err(StoreFault::Regressed {
-                answered: through,
+                received: through,
                 known: self.refused_position,
             });
         }
-        self.last_call_answered = true;
+        self.last_call_succeeded = true;
         self.next_call_at = None;
         self.list_position = Some(through);
         self.listed_items.extend(page.items);
@@ -241,13 +241,17 @@
     /// Accepts the result of a watch and returns it as an update.
     ///
     /// Fails if it is of another era than the watched position.
-    pub fn changed(&mut self, now: Instant, batch: WatchBatch) -> Result<StateUpdate, StoreFault> {
+    pub fn accept_watch_batch(
+        &mut self,
+        now: Instant,
+        batch: WatchBatch,
+    ) -> Result<StateUpdate, StoreFault> {
         let after = self.watch_after.unwrap_or_default();
         check_era(batch.position, after)?;
         // A smaller revision in the same era is a stale read.
         let through = batch.position.max(after);
         self.failures = 0;
-        self.last_call_answered = true;
+        self.last_call_succeeded = true;
         self.watch_after = Some(through);
         self.next_call_at = batch.changed.then(|| now + BATCH_PAUSE);
         Ok(StateUpdate {
@@ -260,8 +264,8 @@
     }
 
     /// Records a failed call and schedules the next one.
-    pub fn failed(&mut self, now: Instant, fault: &StoreFault) {
-        self.last_call_answered = false;
+    pub fn call_failed(&mut self, now: Instant, fault: &StoreFault) {
+        self.last_call_succeeded = false;
         let needs_list = fault.needs_list();
         if needs_list {
             self.refused_position = self.watch_after.take().unwrap_or(self.refused_position);
@@ -293,10 +297,10 @@
 }
 
 /// Checks that a response is of the same era as a known position.
-fn check_era(answered: StorePosition, known: StorePosition) -> Result<(), StoreFault> {
-    match answered.era.cmp(&known.era) {
-        Ordering::Less => Err(StoreFault::Regressed { answered, known }),
+fn check_era(received: StorePosition, known: StorePosition) -> Result<(), StoreFault> {
+    match received.era.cmp(&known.era) {
+        Ordering::Less => Err(StoreFault::Regressed { received, known }),
         Ordering::Equal => Ok(()),
-        Ordering::Greater => Err(StoreFault::EraChanged { era: answered.era }),
+        Ordering::Greater => Err(StoreFault::EraChanged { era: received.era }),
     }
 }
--- a/packet/src/upstreams/upstream_record.rs
+++ b/packet/src/upstreams/upstream_record.rs
@@ -37,7 +37,7 @@
     /// The registration was removed. Flows to which the upstream still responds continue.
     Deregistered {
         /// When the record is removed: no flow of the upstream can be older than this.
-        forget_at: Instant,
+        remove_at: Instant,
     },
 }
 
@@ -103,7 +103,7 @@
     /// Detection of an upstream that does not respond.
     pub failure_detector: FailureDetector,
     /// Detection of an upstream that fails requests.
-    pub answers: OutlierDetector,
+    pub outlier_detector: OutlierDetector,
 }
 
 impl UpstreamRecord {
@@ -124,10 +124,10 @@
     /// from a backup may contain such registrations. One that is as old as the one applied last is
     /// outdated too if the upstream has deregistered since.
     pub fn supersedes(&self, entry: &UpstreamEntry) -> bool {
-        let is_gone = matches!(self.registration, RegistrationState::Deregistered { .. });
+        let is_deregistered = matches!(self.registration, RegistrationState::Deregistered { .. });
         match (self.born, entry.born) {
             (Some(applied), Some(listed)) if applied != listed => listed < applied,
-            _ if is_gone => entry.write_count <= self.write_count,
+            _ if is_deregistered => entry.write_count <= self.write_count,
             _ => entry.write_count < self.write_count,
         }
     }
@@ -152,6 +152,6 @@
 
     /// Whether it is ejected by the failure detector or the outlier detector.
     pub fn is_degraded(&self) -> bool {
-        self.failure_detector.is_ejected() || self.answers.is_failing()
+        self.failure_detector.is_ejected() || self.outlier_detector.is_failing()
     }
 }
--- a/packet/src/upstreams/upstream_table.rs
+++ b/packet/src/upstreams/upstream_table.rs
@@ -74,10 +74,10 @@
     zone: ZoneName,
     max_flow_age: Duration,
     pub(crate) config: PolicyConfig,
-    /// Records by [`UpstreamIndex`]. Those at indices in `free` are unused.
+    /// Records by [`UpstreamIndex`]. Those at indices in `unused` are not in use.
     pub(crate) records: Vec<UpstreamRecord>,
     /// Indices of unused records.
-    free: Vec<UpstreamIndex>,
+    unused: Vec<UpstreamIndex>,
     /// Every record in use.
     by_name: HashMap<UpstreamName, UpstreamIndex>,
     /// Every record in use that has a tag.
@@ -113,7 +113,7 @@
             max_flow_age,
             config,
             records: Vec::new(),
-            free: Vec::new(),
+            unused: Vec::new(),
             by_name: HashMap::default(),
             by_tag: HashMap::default(),
             pools: Vec::new(),
@@ -164,7 +164,7 @@
             priorities: Vec::new(),
             pressure: 0,
             connection_limit: None,
-            mean_weight: slot_weight(&self.config.room),
+            mean_weight: slot_weight(&self.config.load_weight),
         });
         self.pool_by_name.insert(name.clone(), index);
         index
@@ -203,7 +203,7 @@
         let restarted = record.born != entry.born || record.address != entry.address;
         if restarted {
             record.failure_detector.reset();
-            record.answers = Default::default();
+            record.outlier_detector = Default::default();
         }
         record.number = entry.number;
         record.address = entry.address;
@@ -387,11 +387,11 @@
         } = self.config.lapse;
         let record = self.get_mut(index);
         record.held = None;
-        let answers = record
+        let has_responded = record
             .failure_detector
             .last_response()
             .is_some_and(|response| now.saturating_duration_since(response) < max_response_age);
-        if record.registration == RegistrationState::Ready && answers {
+        if record.registration == RegistrationState::Ready && has_responded {
             let until = now + grace;
             record.registration = RegistrationState::Lapsed {
                 until,
@@ -417,8 +417,8 @@
                 RegistrationState::Lapsed { until, .. } if until <= now => {
                     expired.deregistered.push(index);
                 }
-                RegistrationState::Deregistered { forget_at }
-                    if forget_at <= now && !record.has_flows() && record.held.is_none() =>
+                RegistrationState::Deregistered { remove_at }
+                    if remove_at <= now && !record.has_flows() && record.held.is_none() =>
                 {
                     unused.push(index);
                 }
@@ -442,8 +442,8 @@
     pub fn detect_outliers(&mut self, now: Instant) -> Vec<UpstreamIndex> {
         let mut changed = Vec::new();
         for index in self.by_name.values().copied() {
-            let answers = &mut self.records[index as usize].answers;
-            if answers.evaluate(&self.config.outlier, now) {
+            let outlier_detector = &mut self.records[index as usize].outlier_detector;
+            if outlier_detector.evaluate(&self.config.outlier, now) {
                 changed.push(index);
             }
         }
@@ -452,7 +452,7 @@
 
     /// Updates the weights from new load measurements. Must be called after each change of loads.
     pub fn update_weights(&mut self, costs: &FlowCosts) {
-        let config = &self.config.room;
+        let config = &self.config.load_weight;
         for (service, pool) in self.pools.iter_mut().enumerate() {
             let short_flow_share =
                 costs.short_flow_share(&self.config.costs, service as ServiceIndex);
@@ -461,7 +461,7 @@
                 let record = &mut self.records[*index as usize];
                 record
                     .weight
-                    .learn(config, record.slots, short_flow_share, &record.load);
+                    .update(config, record.slots, short_flow_share, &record.load);
                 if let Some(weight) = record.weight.current(&record.load) {
                     weights += weight;
                     slots += f64::from(record.slots);
@@ -473,7 +473,9 @@
             };
             for index in &pool.local {
                 let record = &mut self.records[*index as usize];
-                record.weight.start(record.slots, mean_weight, &record.load);
+                record
+                    .weight
+                    .initialize(record.slots, mean_weight, &record.load);
             }
             pool.mean_weight = mean_weight;
         }
@@ -487,7 +489,7 @@
     ) {
         for record in &mut self.records {
             record.peer_flows = 0;
-            record.answers.clear_peer_counts();
+            record.outlier_detector.clear_peer_counts();
         }
         for (received_at, reports) in reports {
             for report in reports {
@@ -496,12 +498,14 @@
                 };
                 let record = self.get_mut(index);
                 record.peer_flows += report.flows;
-                record.answers.add_peer_counts(report.answers.into());
+                record
+                    .outlier_detector
+                    .add_peer_counts(report.answers.into());
                 let response = report
                     .heard_ago
                     .and_then(|ago| received_at.checked_sub(ago));
                 if let Some(response) = response {
-                    record.failure_detector.peer_response(response);
+                    record.failure_detector.record_peer_response(response);
                 }
             }
         }
@@ -520,7 +524,7 @@
                 tag,
                 flows: record.flows,
                 heard_ago,
-                answers: record.answers.own_counts().into(),
+                answers: record.outlier_detector.own_counts().into(),
             })
         });
         reports.take(MAX_UPSTREAM_REPORTS).collect()
@@ -531,7 +535,7 @@
     pub fn failure_reports(&self) -> Vec<FailureReport> {
         let local = self.records().filter(|record| record.is_local);
         let reports = local.filter_map(|record| {
-            let answers = OutcomeReport::from(record.answers.own_counts());
+            let answers = OutcomeReport::from(record.outlier_detector.own_counts());
             let tag = record.tag.filter(|_tag| answers.failed > 0)?;
             Some(FailureReport { tag, answers })
         });
@@ -600,9 +604,9 @@
             placed: Default::default(),
             weight: Default::default(),
             failure_detector: Default::default(),
-            answers: Default::default(),
+            outlier_detector: Default::default(),
         };
-        let index = match self.free.pop() {
+        let index = match self.unused.pop() {
             Some(index) => {
                 self.records[index as usize] = record;
                 index
@@ -622,8 +626,8 @@
     /// Marks an upstream as deregistered and removes it from its pool.
     fn mark_deregistered(&mut self, now: Instant, index: UpstreamIndex) {
         self.remove_from_pool(index);
-        let forget_at = now + self.max_flow_age;
-        self.get_mut(index).registration = RegistrationState::Deregistered { forget_at };
+        let remove_at = now + self.max_flow_age;
+        self.get_mut(index).registration = RegistrationState::Deregistered { remove_at };
     }
 
     /// Moves the upstreams of a zone to the list of their pool that matches whether the zone is
@@ -674,6 +678,6 @@
             self.by_tag.remove(&tag);
         }
         self.by_name.remove(&record.name);
-        self.free.push(index);
+        self.unused.push(index);
     }
 }
--- a/packet/tests/admission_rig.rs
+++ b/packet/tests/admission_rig.rs
@@ -75,7 +75,7 @@
     Syn {
         request: usize,
         attempt: u16,
-        copy: u32,
+        transmission: u32,
     },
     GivenUp {
         request: usize,
@@ -110,7 +110,7 @@
     /// Samples of the last second: requests in progress at each upstream, total arrivals and total
     /// sheds.
     samples: VecDeque<(Vec<usize>, u32, u32)>,
-    room: ContentionState,
+    contention: ContentionState,
     contended_until: u64,
     arrivals: u32,
     shed: u32,
@@ -131,7 +131,7 @@
         requests: Vec::new(),
         queues: vec![VecDeque::new(); case.upstreams],
         samples: VecDeque::new(),
-        room: ContentionState::default(),
+        contention: ContentionState::default(),
         contended_until: 0,
         arrivals: 0,
         shed: 0,
@@ -164,8 +164,8 @@
             LoadEvent::Syn {
                 request,
                 attempt,
-                copy,
-            } => self.syn(now, request, attempt, copy),
+                transmission,
+            } => self.syn(now, request, attempt, transmission),
             LoadEvent::GivenUp { request, attempt } => {
                 let state = &self.requests[request];
                 if state.attempt == attempt && !state.placed {
@@ -204,7 +204,7 @@
         if pressure >= 750 {
             self.contended_until = now + 3_000_000;
         }
-        self.room = ContentionState {
+        self.contention = ContentionState {
             pressure,
             is_contended: now < self.contended_until,
             updated_at: None,
@@ -239,14 +239,14 @@
     /// Opens a flow for a request.
     fn open_flow(&mut self, now: u64, request: usize) {
         let attempt = self.requests[request].attempt;
-        for (copy, after) in [0, 200_000, 600_000].into_iter().enumerate() {
-            let copy = copy as u32;
+        for (transmission, after) in [0, 200_000, 600_000].into_iter().enumerate() {
+            let transmission = transmission as u32;
             self.schedule(
                 now + after,
                 LoadEvent::Syn {
                     request,
                     attempt,
-                    copy,
+                    transmission,
                 },
             );
         }
@@ -262,13 +262,13 @@
         }
     }
 
-    fn syn(&mut self, now: u64, request: usize, attempt: u16, copy: u32) {
+    fn syn(&mut self, now: u64, request: usize, attempt: u16, transmission: u32) {
         let state = &self.requests[request];
         if state.attempt != attempt || state.placed {
             return;
         }
-        let decision = match self.case.admission.is_some() && self.room.is_contended {
-            true => self.evaluate(now, request, copy),
+        let decision = match self.case.admission.is_some() && self.contention.is_contended {
+            true => self.evaluate(now, request, transmission),
             false => {
                 let rank = state.class as u8;
                 let at = self.start + Duration::from_micros(now);
@@ -284,7 +284,7 @@
         }
     }
 
-    fn evaluate(&mut self, now: u64, request: usize, copy: u32) -> SynDecision {
+    fn evaluate(&mut self, now: u64, request: usize, transmission: u32) -> SynDecision {
         let state = &self.requests[request];
         let address = Ipv4Addr::from_bits(0x6440_0000 + u32::from(state.caller));
         let syn = SynArrival {
@@ -298,16 +298,16 @@
             flow_hash: (request as u64 * 3 + u64::from(state.attempt))
                 .wrapping_mul(0x9e37_79b9_7f4a_7c15),
             service: 0,
-            room: self.room,
+            contention: self.contention,
             class: RequestClass {
                 rank: state.class as u8,
                 classes: 3,
                 priority: RequestPriority(state.class as u32),
             },
-            copy,
+            transmission,
             placed_before: false,
             has_free_slot: false,
-            target: Some(Duration::from_millis(self.case.targets[state.class])),
+            objective: Some(Duration::from_millis(self.case.targets[state.class])),
             timeout: Some(Duration::from_secs(6)),
         };
         let at = self.start + Duration::from_micros(now);
--- a/packet/tests/core_rig.rs
+++ b/packet/tests/core_rig.rs
@@ -240,7 +240,7 @@
     pub revision: Revision,
     /// The store's current era.
     pub era: StoreEra,
-    /// Whether the store answers no calls.
+    /// Whether the store responds to no calls.
     pub store_unreachable: bool,
 }
 
@@ -275,14 +275,14 @@
     }
 
     /// Advances the time, with a tick every 100 ms.
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance_time(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = end.min(self.now + Duration::from_millis(100));
             let mut output = PacketOutput::default();
             self.core.tick(self.now, &mut output);
             if self.core.reads() && !self.store_unreachable {
-                self.core.store_answered(self.now);
+                self.core.store_responded(self.now);
             }
             self.resets.extend(output.resets);
             self.events.extend(output.events);
@@ -315,15 +315,15 @@
     /// Handles a packet and returns the actions.
     pub fn packet(&mut self, head: &PacketHead) -> Vec<PacketAction> {
         let mut output = PacketOutput::default();
-        self.core.packet(self.now, head, &mut output);
+        self.core.handle_packet(self.now, head, &mut output);
         self.events.extend(output.events);
         output.actions
     }
 
-    /// Sends a caller's SYN to `ledger`, and returns the upstreams that get it. `copy` is the
-    /// number of the retransmission; 0 for the first SYN.
-    pub fn open(&mut self, number: u16, copy: u32) -> Vec<u8> {
-        let head = open_head(number, copy);
+    /// Sends a caller's SYN to `ledger`, and returns the upstreams that get it. `transmission` is
+    /// the number of the retransmission; 0 for the first SYN.
+    pub fn open(&mut self, number: u16, transmission: u32) -> Vec<u8> {
+        let head = open_head(number, transmission);
         forwarded(&self.packet(&head))
     }
 
@@ -353,14 +353,14 @@
 }
 
 /// Returns the head of a caller's SYN to `ledger`.
-pub fn open_head(number: u16, copy: u32) -> PacketHead {
+pub fn open_head(number: u16, transmission: u32) -> PacketHead {
     PacketHead {
         kind: PacketKind::Open,
         caller: caller(number),
         service: ledger(),
         tag: 0,
         seq: 0,
-        ack: copy,
+        ack: transmission,
         data_len: 0,
         last: false,
     }
--- a/packet/tests/dispatch_rig.rs
+++ b/packet/tests/dispatch_rig.rs
@@ -110,7 +110,7 @@
     }
 
     /// Advances the simulation.
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance_time(&mut self, millis: u64) {
         (0..millis).for_each(|_step| self.step());
     }
 
@@ -189,7 +189,7 @@
                     && (self.can_reach)(from, to)
                 {
                     let message = heartbeat(from);
-                    self.cores[to].heard(self.now, host_address(from), message, false);
+                    self.cores[to].handle_heartbeat(self.now, host_address(from), message, false);
                 }
             }
             if self.contended {
@@ -241,7 +241,7 @@
 
     /// Passes a packet to a host.
     pub fn packet(&mut self, host: usize, head: &PacketHead) {
-        self.handle_packet(host, head, PacketCore::packet);
+        self.handle_packet(host, head, PacketCore::handle_packet);
     }
 
     fn handle_packet(&mut self, host: usize, head: &PacketHead, handle: PacketHandler) {
@@ -312,17 +312,17 @@
     /// Sends requests until the dispatchers have learned enough to place flows. Uses the flows from
     /// 60,000.
     pub fn warm_up(&mut self) {
-        self.pass(110);
+        self.advance_time(110);
         for flow in 0..8 {
             let host = usize::from(flow) % self.cores.len();
             if !self.is_stopped(host)
                 && let Some(syn) = self.place(host, 60_000 + flow)
             {
                 self.request(syn);
-                self.pass(50);
+                self.advance_time(50);
                 self.finish(syn);
             }
-            self.pass(10);
+            self.advance_time(10);
         }
         self.placed.clear();
     }
--- a/packet/tests/fleet_rig.rs
+++ b/packet/tests/fleet_rig.rs
@@ -292,7 +292,9 @@
     pub fn open_flow(&mut self, host: HostIndex, flow: u16) -> Vec<u8> {
         let mut output = PacketOutput::default();
         let head = open_head(flow, 0);
-        self.hosts[host].core.packet(self.now, &head, &mut output);
+        self.hosts[host]
+            .core
+            .handle_packet(self.now, &head, &mut output);
         forwarded(&output.actions)
     }
 
@@ -302,15 +304,15 @@
     }
 
     /// Advances time by `millis` and publishes a change of upstream 1 every `pause` milliseconds.
-    pub fn pass_with_changes(&mut self, millis: u64, pause: u64) {
+    pub fn advance_with_changes(&mut self, millis: u64, pause: u64) {
         for _change in 0..millis / pause {
             self.publish(|revision| upstream_item(revision, entry(1, "ledger")));
-            self.pass(pause);
+            self.advance_time(pause);
         }
     }
 
     /// Advances time by `millis` and handles the events that are due.
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance_time(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while let Some(entry) = self.events.first_entry()
             && entry.key().0 <= end
@@ -425,7 +427,7 @@
         let host = &mut self.hosts[index];
         host.core.tick(now, &mut PacketOutput::default());
         host.reads = host.core.reads();
-        let heartbeats = host.core.round(now, false);
+        let heartbeats = host.core.due_heartbeats(now, false);
         self.send_heartbeats(index, heartbeats);
         let due = self.hosts[index].core.due_load_datagrams(now);
         self.send_due(index, due);
@@ -435,14 +437,14 @@
     fn request_missing_state(&mut self, index: HostIndex) {
         let now = self.now;
         if !self.hosts[index].state_requested
-            && let Some(source) = self.hosts[index].core.source(now)
+            && let Some(source) = self.hosts[index].core.state_source(now)
         {
             self.request_state(index, source);
         }
     }
 
     fn request_state(&mut self, index: HostIndex, source: SocketAddrV4) {
-        let query = self.hosts[index].core.view().query();
+        let query = self.hosts[index].core.snapshot().query();
         let source_index = self.index_of(source);
         let source_index = source_index.filter(|source_index| {
             self.hosts[*source_index].alive && self.can_reach(index, *source_index)
@@ -461,8 +463,12 @@
             self.schedule(index, BUSY_DELAY, reply);
             return;
         }
-        let update = source_index
-            .map(|source_index| self.hosts[source_index].core.view().update_since(&query));
+        let update = source_index.map(|source_index| {
+            self.hosts[source_index]
+                .core
+                .snapshot()
+                .update_since(&query)
+        });
         if let Some(source_index) = source_index {
             self.hosts[source_index].active_replies += 1;
             self.schedule(source_index, STATE_DELAY, FleetEvent::ReplyEnds);
@@ -482,7 +488,7 @@
     pub(crate) fn merge_and_forward(&mut self, index: HostIndex, update: StateUpdate) -> bool {
         let now = self.now;
         let core = &mut self.hosts[index].core;
-        let before = core.view().query();
+        let before = core.snapshot().query();
         if !core.merge(now, &update, &mut PacketOutput::default()) {
             return false;
         }
@@ -498,8 +504,8 @@
         let core = &mut self.hosts[index].core;
         match datagram {
             PeerDatagram::Heartbeat(heartbeat) => {
-                let replies = core.heard(now, from, heartbeat, false);
-                let lacks_state = core.view().through().is_unread();
+                let replies = core.handle_heartbeat(now, from, heartbeat, false);
+                let lacks_state = core.snapshot().through().is_unread();
                 self.send_heartbeats(index, replies.heartbeats);
                 if lacks_state {
                     self.request_missing_state(index);
--- a/packet/tests/load_rig.rs
+++ b/packet/tests/load_rig.rs
@@ -83,11 +83,11 @@
         for flow in flows.iter_mut() {
             rig.packet(&flow.request());
         }
-        rig.pass(response_ms);
+        rig.advance_time(response_ms);
         for flow in flows.iter_mut() {
             rig.packet(&flow.response(bytes));
         }
-        rig.pass(HALF_CYCLE_MS);
+        rig.advance_time(HALF_CYCLE_MS);
     }
 }
 
@@ -113,7 +113,8 @@
         others: Vec::new(),
         reports: None,
     };
-    rig.core.heard(rig.now, peer(number), heartbeat, false);
+    rig.core
+        .handle_heartbeat(rig.now, peer(number), heartbeat, false);
 }
 
 /// Returns the address of another host of the zone.
@@ -125,7 +126,7 @@
 pub fn datagrams_sent_within(rig: &mut CoreRig, millis: u64) -> Vec<AddressedDatagram> {
     let mut sent = Vec::new();
     for _poll in 0..millis / 100 {
-        rig.pass(100);
+        rig.advance_time(100);
         sent.extend(rig.core.due_load_datagrams(rig.now));
     }
     sent
@@ -133,7 +134,7 @@
 
 /// Returns whether a host regards the `ledger` service as contended.
 pub fn is_contended(rig: &CoreRig) -> bool {
-    rig.core.load().room(rig.now, 0).is_contended
+    rig.core.load().contention(rig.now, 0).is_contended
 }
 
 /// A zone of hosts. The upstreams of the `ledger` service have two slots each.
@@ -166,7 +167,7 @@
             .chain(entries.map(|entry| upstream_item(2, entry)))
             .collect();
         rig.start_all();
-        rig.pass(4000);
+        rig.advance_time(4000);
         let mut flows = flows_to(counts);
         for flow in &mut flows {
             flow.host = usize::from(flow.number) * 7919 % usize::from(hosts);
@@ -187,10 +188,10 @@
                     let frozen = self.rig.now < host.frozen_until.unwrap_or(self.rig.now);
                     if host.alive && !frozen {
                         let mut output = PacketOutput::default();
-                        host.core.packet(self.rig.now, &head, &mut output);
+                        host.core.handle_packet(self.rig.now, &head, &mut output);
                     }
                 }
-                self.rig.pass(HALF_CYCLE_MS);
+                self.rig.advance_time(HALF_CYCLE_MS);
             }
         }
     }
@@ -199,7 +200,7 @@
     pub fn contended_hosts(&self) -> usize {
         let now = self.rig.now;
         let hosts = self.rig.hosts.iter().filter(|host| host.alive);
-        let states = hosts.map(|host| host.core.load().room(now, 0));
+        let states = hosts.map(|host| host.core.load().contention(now, 0));
         states.filter(|state| state.is_contended).count()
     }
 
--- a/packet/tests/queue_rig.rs
+++ b/packet/tests/queue_rig.rs
@@ -154,7 +154,7 @@
                 }
                 for (host, cost) in hosts.iter_mut().zip(&costs) {
                     host.table.update_weights(cost);
-                    host.room.updated_at = Some(now);
+                    host.contention.updated_at = Some(now);
                 }
                 events.push(Reverse((micros + DIGEST_MICROS, QueueEvent::Digest)));
             }
@@ -164,7 +164,7 @@
                 flow_count += 1;
                 let host = random.random_range(0..HOSTS);
                 let rig = &mut hosts[host];
-                (rig.now, rig.room.is_contended) = (now, case.method.is_some());
+                (rig.now, rig.contention.is_contended) = (now, case.method.is_some());
                 let index = rig
                     .select(rendezvous_weight(flow_count, case.seed), None)
                     .first;
@@ -185,7 +185,7 @@
                     record.load.updated_at,
                     costs[host].expected_load(&config, ledger()),
                 );
-                costs[host].begin(now, key(&flow), 0);
+                costs[host].start_measuring(now, key(&flow), 0);
                 counts.flows[upstream] += u32::from(micros >= warmup + 1_000_000);
                 started = Some(flow);
             }
--- a/packet/tests/test_admission_state.rs
+++ b/packet/tests/test_admission_state.rs
@@ -39,15 +39,16 @@
 }
 
 /// A SYN of a service far above its capacity, with sample values above the minimum share.
-fn syn(number: u16, copy: u32) -> SynArrival {
-    let is_high = |hash: &u64| (0..3).all(|copy| syn_sample(*hash, copy) >= FULL_SHARE / 2);
+fn syn(number: u16, transmission: u32) -> SynArrival {
+    let is_high =
+        |hash: &u64| (0..3).all(|transmission| syn_sample(*hash, transmission) >= FULL_SHARE / 2);
     SynArrival {
         key: key(number),
         flow_hash: (0..)
             .find(is_high)
             .expect("some hash has high sample values"),
         service: 0,
-        room: ContentionState {
+        contention: ContentionState {
             pressure: 30_000,
             is_contended: true,
             updated_at: None,
@@ -57,18 +58,18 @@
             classes: 1,
             priority: RequestPriority::LEAST_URGENT,
         },
-        copy,
+        transmission,
         placed_before: false,
         has_free_slot: false,
-        target: Some(Duration::from_secs(1)),
+        objective: Some(Duration::from_secs(1)),
         timeout: Some(Duration::from_secs(3)),
     }
 }
 
 enum Step {
-    /// A SYN with this copy number arrives and gets this decision.
+    /// A SYN with this transmission number arrives and gets this decision.
     Syn(u32, SynDecision),
-    /// A SYN with this copy number arrives while a slot is free.
+    /// A SYN with this transmission number arrives while a slot is free.
     Placed(u32),
     /// So many milliseconds pass, followed by a tick.
     Elapse(u64),
@@ -178,12 +179,16 @@
         let mut now = Instant::now();
         for step in case.steps {
             match step {
-                Step::Syn(copy, expected) => {
-                    let decision = state.evaluate(now, &syn(1, *copy)).1;
-                    assert_eq!(decision, *expected, "{}, copy {copy}", case.name);
+                Step::Syn(transmission, expected) => {
+                    let decision = state.evaluate(now, &syn(1, *transmission)).1;
+                    assert_eq!(
+                        decision, *expected,
+                        "{}, transmission {transmission}",
+                        case.name
+                    );
                 }
-                Step::Placed(copy) => {
-                    let mut syn = syn(1, *copy);
+                Step::Placed(transmission) => {
+                    let mut syn = syn(1, *transmission);
                     syn.has_free_slot = true;
                     assert_eq!(state.evaluate(now, &syn).1, SynDecision::Admit);
                 }
@@ -191,7 +196,7 @@
                     now += Duration::from_millis(*millis);
                     state.tick(now);
                 }
-                Step::Stall => state.restart(now),
+                Step::Stall => state.handle_stall(now),
                 Step::Fill => {
                     for number in 100..100 + MAX_DEFERRED as u16 {
                         state.evaluate(now, &syn(number, 0));
@@ -370,7 +375,7 @@
             flow_hash: 1,
             local_hosts: 1,
             tried: &[],
-            room: ContentionState {
+            contention: ContentionState {
                 is_contended: case.is_contended,
                 ..Default::default()
             },
@@ -485,7 +490,7 @@
         let address = Ipv4Addr::from_bits(0x6440_0000 + number);
         syn.key.caller = SocketAddrV4::new(address, turn as u16);
         syn.flow_hash = u64::from(turn).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        syn.room.pressure = 2500;
+        syn.contention.pressure = 2500;
         let decision = state.evaluate(now, &syn).1;
         admitted[usize::from(is_heavy_caller)] += u32::from(decision == SynDecision::Admit);
     }
--- a/packet/tests/test_allocations.rs
+++ b/packet/tests/test_allocations.rs
@@ -31,7 +31,7 @@
         let counted = allocation_counter::measure(|| {
             for head in &heads {
                 output.clear();
-                rig.core.packet(rig.now, head, &mut output);
+                rig.core.handle_packet(rig.now, head, &mut output);
                 assert!(!output.actions.is_empty());
             }
         });
--- a/packet/tests/test_class_admission.rs
+++ b/packet/tests/test_class_admission.rs
@@ -25,7 +25,7 @@
 /// Number of flows over which an admitted share is measured.
 const FLOWS: u64 = 2000;
 
-fn room(pressure: u32) -> ContentionState {
+fn contention(pressure: u32) -> ContentionState {
     ContentionState {
         pressure,
         is_contended: true,
@@ -36,7 +36,7 @@
 /// The first SYN of a class at a pressure, with a latency objective of 250 ms and a timeout of 3 s.
 fn query(pressure: u32, demand_rank: u8, classes_with_demand: u8) -> SynQuery {
     SynQuery {
-        room: room(pressure),
+        contention: contention(pressure),
         pressure,
         class: RequestClass {
             rank: demand_rank,
@@ -45,21 +45,21 @@
         },
         demand_rank,
         classes_with_demand,
-        copy: 0,
+        transmission: 0,
         flow_hash: 1,
         placed_before: false,
         known_unopened: true,
         has_free_slot: false,
         is_heavy_caller: false,
-        target: Some(Duration::from_millis(250)),
+        objective: Some(Duration::from_millis(250)),
         timeout: Some(Duration::from_secs(3)),
     }
 }
 
-/// Returns a flow hash with the largest sample value for a copy number, so that the SYN is
+/// Returns a flow hash with the largest sample value for a transmission number, so that the SYN is
 /// admitted only if all SYNs are.
-fn hash_with_max_sample(copy: u32) -> u64 {
-    let hash = (0..).find(|hash| syn_sample(*hash, copy) == FULL_SHARE - 1);
+fn hash_with_max_sample(transmission: u32) -> u64 {
+    let hash = (0..).find(|hash| syn_sample(*hash, transmission) == FULL_SHARE - 1);
     hash.expect("some hash has the largest sample value")
 }
 
@@ -160,7 +160,10 @@
         expected: SynDecision,
     }
     let base = query(3500, 1, 2);
-    let copy = |copy: u32| SynQuery { copy, ..base };
+    let transmission = |transmission: u32| SynQuery {
+        transmission,
+        ..base
+    };
     let millis = |millis: u64| Some(Duration::from_millis(millis));
     let cases = [
         Case {
@@ -171,7 +174,7 @@
         Case {
             name: "first SYN, and the next comes after the objective but before the timeout",
             query: SynQuery {
-                target: millis(150),
+                objective: millis(150),
                 ..base
             },
             expected: QUEUE_FULL,
@@ -179,7 +182,7 @@
         Case {
             name: "first SYN, and the next comes after the objective and the timeout",
             query: SynQuery {
-                target: millis(150),
+                objective: millis(150),
                 timeout: millis(200),
                 ..base
             },
@@ -188,7 +191,7 @@
         Case {
             name: "first SYN without an objective or a timeout",
             query: SynQuery {
-                target: None,
+                objective: None,
                 timeout: None,
                 ..base
             },
@@ -197,45 +200,45 @@
         Case {
             name: "first retransmission, and the last one comes after the objective",
             query: SynQuery {
-                target: millis(500),
+                objective: millis(500),
                 pressure: 9000,
-                ..copy(1)
+                ..transmission(1)
             },
             expected: PRIORITY_REFUSED,
         },
         Case {
             name: "first retransmission, and the last one comes within the objective",
             query: SynQuery {
-                target: millis(1500),
+                objective: millis(1500),
                 pressure: 9000,
-                ..copy(1)
+                ..transmission(1)
             },
             expected: QUEUE_FULL,
         },
         Case {
             name: "first retransmission without an objective",
             query: SynQuery {
-                target: None,
+                objective: None,
                 pressure: 9000,
-                ..copy(1)
+                ..transmission(1)
             },
             expected: QUEUE_FULL,
         },
         Case {
             name: "last retransmission",
-            query: copy(2),
+            query: transmission(2),
             expected: PRIORITY_REFUSED,
         },
         Case {
             name: "a retransmission that callers do not send",
-            query: copy(u32::MAX),
+            query: transmission(u32::MAX),
             expected: PRIORITY_REFUSED,
         },
         Case {
             name: "last retransmission of a flow that another host may have opened",
             query: SynQuery {
                 known_unopened: false,
-                ..copy(2)
+                ..transmission(2)
             },
             expected: SynDecision::Admit,
         },
@@ -243,9 +246,9 @@
             name: "first retransmission of a flow that another host may have opened, while the next is in time",
             query: SynQuery {
                 known_unopened: false,
-                target: millis(1500),
+                objective: millis(1500),
                 pressure: 9000,
-                ..copy(1)
+                ..transmission(1)
             },
             expected: QUEUE_FULL,
         },
@@ -254,7 +257,7 @@
             query: SynQuery {
                 placed_before: true,
                 known_unopened: false,
-                ..copy(1)
+                ..transmission(1)
             },
             expected: SynDecision::Admit,
         },
@@ -272,7 +275,7 @@
             query: SynQuery {
                 timeout: millis(500),
                 has_free_slot: true,
-                ..copy(2)
+                ..transmission(2)
             },
             expected: DEADLINE_PASSED,
         },
@@ -281,7 +284,7 @@
             query: SynQuery {
                 timeout: millis(500),
                 known_unopened: false,
-                ..copy(2)
+                ..transmission(2)
             },
             expected: SynDecision::Admit,
         },
@@ -299,7 +302,7 @@
             query: SynQuery {
                 pressure: 1750,
                 is_heavy_caller: true,
-                ..copy(2)
+                ..transmission(2)
             },
             expected: FAIR_SHARE,
         },
@@ -307,7 +310,7 @@
             name: "last retransmission of a heavy caller at a pressure at which others are refused as well",
             query: SynQuery {
                 is_heavy_caller: true,
-                ..copy(2)
+                ..transmission(2)
             },
             expected: PRIORITY_REFUSED,
         },
@@ -322,7 +325,7 @@
     ];
     for case in cases {
         let query = SynQuery {
-            flow_hash: hash_with_max_sample(case.query.copy),
+            flow_hash: hash_with_max_sample(case.query.transmission),
             ..case.query
         };
         assert_eq!(evaluate(&query), case.expected, "{}", case.name);
@@ -335,46 +338,46 @@
     // after an outage.
     struct Case {
         name: &'static str,
-        copy: u32,
+        transmission: u32,
         target_ms: Option<u64>,
         expected: u64,
     }
     let cases = [
         Case {
             name: "first SYN",
-            copy: 0,
+            transmission: 0,
             target_ms: Some(1500),
             expected: 100,
         },
         Case {
             name: "first retransmission",
-            copy: 1,
+            transmission: 1,
             target_ms: Some(1500),
             expected: 486,
         },
         Case {
             name: "last retransmission",
-            copy: 2,
+            transmission: 2,
             target_ms: Some(1500),
             expected: 871,
         },
         Case {
             name: "last retransmission without an objective",
-            copy: 2,
+            transmission: 2,
             target_ms: None,
             expected: 871,
         },
         Case {
             name: "last retransmission, after the objective",
-            copy: 2,
+            transmission: 2,
             target_ms: Some(600),
             expected: 100,
         },
     ];
     for case in cases {
         let query = SynQuery {
-            copy: case.copy,
-            target: case.target_ms.map(Duration::from_millis),
+            transmission: case.transmission,
+            objective: case.target_ms.map(Duration::from_millis),
             ..query(3500, 1, 2)
         };
         let share = admitted_share(query);
@@ -454,16 +457,18 @@
     let class = (1u8..=4).prop_flat_map(|classes| (0..classes, Just(classes)));
     let flow = (0u32..30_000, 0u32..4, any::<u64>());
     (flow, class, flags, millis(), millis()).prop_map(
-        |((pressure, copy, flow_hash), (rank, classes), flags, target, timeout)| SynQuery {
-            copy,
-            flow_hash,
-            placed_before: flags[0],
-            known_unopened: flags[1],
-            has_free_slot: flags[2],
-            is_heavy_caller: flags[3],
-            target: target.map(Duration::from_millis),
-            timeout: timeout.map(Duration::from_millis),
-            ..query(pressure, rank, classes)
+        |((pressure, transmission, flow_hash), (rank, classes), flags, objective, timeout)| {
+            SynQuery {
+                transmission,
+                flow_hash,
+                placed_before: flags[0],
+                known_unopened: flags[1],
+                has_free_slot: flags[2],
+                is_heavy_caller: flags[3],
+                objective: objective.map(Duration::from_millis),
+                timeout: timeout.map(Duration::from_millis),
+                ..query(pressure, rank, classes)
+            }
         },
     )
 }
@@ -507,7 +512,7 @@
     #[test]
     fn test_last_retransmissions_are_never_deferred(query in any_query()) {
         let decision = evaluate(&query);
-        prop_assert!(query.copy < 2 || !matches!(decision, SynDecision::Defer(_)));
+        prop_assert!(query.transmission < 2 || !matches!(decision, SynDecision::Defer(_)));
     }
 }
 
@@ -515,7 +520,9 @@
 fn test_sample_value_is_the_same_on_every_host() {
     // Guards against a sample value that depends on the process or the build, since hosts of two
     // versions would then decide differently.
-    let samples: Vec<u32> = (0..3).map(|copy| syn_sample(0x0123_4567, copy)).collect();
+    let samples: Vec<u32> = (0..3)
+        .map(|transmission| syn_sample(0x0123_4567, transmission))
+        .collect();
     assert_eq!(samples, [337, 671, 318]);
     let mean = (0..10_000).map(|hash| syn_sample(hash, 0)).sum::<u32>() / 10_000;
     assert!((485..=515).contains(&mean), "{mean}");
--- a/packet/tests/test_contended_selection.rs
+++ b/packet/tests/test_contended_selection.rs
@@ -82,7 +82,7 @@
     /// The current time.
     pub now: Instant,
     /// Contention state and load of the service.
-    pub room: ContentionState,
+    pub contention: ContentionState,
 }
 
 fn numbered_entry(number: usize, zone: &str) -> UpstreamEntry {
@@ -97,12 +97,12 @@
 impl ContendedRig {
     /// Creates a host whose digest has just measured these upstreams of its zone.
     pub fn new(method: WeightMethod, upstreams: &[KnownUpstream]) -> Self {
-        let room = LoadWeightConfig {
+        let load_weight = LoadWeightConfig {
             method,
             ..Default::default()
         };
         let config = PolicyConfig {
-            room,
+            load_weight,
             ..Default::default()
         };
         let age = Duration::from_secs(60);
@@ -110,7 +110,7 @@
             table: UpstreamTable::new(ZONE.into(), age, config),
             members: Vec::new(),
             now: Instant::now(),
-            room: ContentionState {
+            contention: ContentionState {
                 pressure: 900,
                 is_contended: true,
                 updated_at: None,
@@ -163,7 +163,7 @@
             flow_hash,
             local_hosts: 30,
             tried: &[],
-            room: self.room,
+            contention: self.contention,
             spill_zone,
         };
         select_upstream(&self.table, query).expect("an upstream")
@@ -173,7 +173,7 @@
     /// `max_sampled` ones.
     fn counts(&self, flows: u64) -> Vec<u32> {
         let length = self.members.len() as u64;
-        let sampled = self.table.config().room.max_sampled;
+        let sampled = self.table.config().load_weight.max_sampled;
         let mut counts = vec![0; self.members.len().min(sampled)];
         for flow in 0..flows {
             let flow_hash = rendezvous_weight(flow, 77);
@@ -459,7 +459,7 @@
         for is_contended in [false, true] {
             let name = format!("{}, contended: {is_contended}", case.name);
             let mut rig = ContendedRig::new(WeightMethod::FreeCapacity, &[EMPTY; 3]);
-            rig.room.is_contended = is_contended;
+            rig.contention.is_contended = is_contended;
             for index in rig.members.clone() {
                 rig.table.get_mut(index).flows = case.others;
             }
@@ -527,7 +527,7 @@
     ];
     for case in cases {
         let mut rig = ContendedRig::new(WeightMethod::FreeCapacity, &[EQUAL; 3]);
-        rig.room.is_contended = case.is_contended;
+        rig.contention.is_contended = case.is_contended;
         rig.measure(0, case.in_progress[0], 20);
         rig.measure(1, case.in_progress[1], 20);
         rig.measure(2, 2000, 20);
@@ -622,7 +622,7 @@
     for method in METHODS {
         let mut rig = ContendedRig::new(method, &[FULL; 9]);
         rig.table.update_weights(&costs);
-        rig.room.updated_at = Some(rig.now);
+        rig.contention.updated_at = Some(rig.now);
         let entry = numbered_entry(9, ZONE);
         rig.members.push(rig.table.register(rig.now, &entry));
         let before = busiest_share(&rig.counts(20_000));
@@ -673,7 +673,7 @@
         let upstream = KnownUpstream { slots, in_progress, response_ms, warmup_ms };
         for method in METHODS {
             let rig = ContendedRig::new(method, &[upstream]);
-            let config = &rig.table.config().room;
+            let config = &rig.table.config().load_weight;
             let record = rig.table.get(rig.members[0]);
             let weight = upstream_weight(config, 160, record, in_progress, None, rig.now);
             prop_assert!(weight.is_finite() && weight > 0.0);
@@ -708,7 +708,7 @@
             .collect();
         for method in METHODS {
             let rig = ContendedRig::new(method, &upstreams);
-            let config = &rig.table.config().room;
+            let config = &rig.table.config().load_weight;
             let weights: Vec<f64> = rig
                 .members
                 .iter()
--- a/packet/tests/test_dispatch.rs
+++ b/packet/tests/test_dispatch.rs
@@ -165,7 +165,7 @@
         ends.retain(|(end, flow)| {
             let keep = *end > millis;
             if !keep {
-                ledger.end(*flow);
+                ledger.record_end(*flow);
             }
             keep
         });
@@ -175,7 +175,7 @@
             ..candidate(index, ledger.in_progress(index))
         });
         let selected = least_loaded(candidates).unwrap();
-        ledger.begin(now, flow, selected.index);
+        ledger.record_request(now, flow, selected.index);
         placed[selected.index as usize] += 1;
         let request_millis = if selected.index == 0 { 300 } else { 60 };
         ends.push((millis + request_millis, flow));
@@ -315,18 +315,18 @@
 fn test_ledger_counts_each_request_once() {
     let now = Instant::now();
     let mut ledger = RequestLedger::default();
-    ledger.place(now, 1, 0);
+    ledger.record_placement(now, 1, 0);
     assert_eq!(ledger.in_progress(0), 1, "a placed flow counts at once");
-    ledger.begin(now, 1, 0);
+    ledger.record_request(now, 1, 0);
     assert_eq!(
         ledger.in_progress(0),
         1,
         "the flow and its request count once"
     );
-    ledger.begin(now, 1, 2);
+    ledger.record_request(now, 1, 2);
     assert_eq!((ledger.in_progress(0), ledger.in_progress(2)), (0, 1));
-    ledger.end(1);
-    ledger.end(1);
+    ledger.record_end(1);
+    ledger.record_end(1);
     assert_eq!(ledger.in_progress(2), 0);
     assert!(ledger.is_empty());
 }
@@ -337,7 +337,7 @@
     // requests has failed.
     let now = Instant::now();
     let mut ledger = RequestLedger::default();
-    ledger.begin(now, 1, 0);
+    ledger.record_request(now, 1, 0);
     ledger.expire_requests(now + Duration::from_millis(1900));
     assert_eq!(ledger.in_progress(0), 1);
     ledger.expire_requests(now + Duration::from_millis(2100));
@@ -349,9 +349,9 @@
     // Guards against upstreams that look full because callers opened flows and sent no request.
     let now = Instant::now();
     let mut ledger = RequestLedger::default();
-    ledger.place(now, 1, 0);
-    ledger.place(now, 2, 0);
-    ledger.begin(now, 2, 0);
+    ledger.record_placement(now, 1, 0);
+    ledger.record_placement(now, 2, 0);
+    ledger.record_request(now, 2, 0);
     ledger.expire_placements(now + Duration::from_millis(40));
     assert_eq!(
         ledger.in_progress(0),
@@ -365,11 +365,14 @@
     // Guards against SYNs that wait for a dispatcher that has failed.
     let now = Instant::now();
     let mut client = DispatchClient::default();
-    assert!(client.ask(now, flow_key(1), 7, host(9)));
-    assert_eq!(client.take(now, 7), QueryState::Waiting);
+    assert!(client.start_query(now, flow_key(1), 7, host(9)));
+    assert_eq!(client.take_state(now, 7), QueryState::Waiting);
     let timed_out_at = now + REPLY_TIMEOUT;
-    assert_eq!(client.take(timed_out_at, 7), QueryState::TimedOut(host(9)));
-    assert_eq!(client.take(timed_out_at, 7), QueryState::Absent);
+    assert_eq!(
+        client.take_state(timed_out_at, 7),
+        QueryState::TimedOut(host(9))
+    );
+    assert_eq!(client.take_state(timed_out_at, 7), QueryState::Absent);
 }
 
 #[test]
@@ -377,14 +380,14 @@
     // Guards against a late reply of a former dispatcher for a flow that another one places.
     let now = Instant::now();
     let mut client = DispatchClient::default();
-    client.ask(now, flow_key(1), 7, host(9));
+    client.start_query(now, flow_key(1), 7, host(9));
     let verdict = DispatchVerdict::Place(5);
-    assert_eq!(client.reply(now, host(8), 7, verdict), None);
+    assert_eq!(client.handle_reply(now, host(8), 7, verdict), None);
     assert_eq!(
-        client.reply(now, host(9), 7, verdict),
+        client.handle_reply(now, host(9), 7, verdict),
         Some((flow_key(1), now))
     );
-    assert_eq!(client.take(now, 7), QueryState::Replied(verdict));
+    assert_eq!(client.take_state(now, 7), QueryState::Replied(verdict));
 }
 
 #[test]
@@ -395,7 +398,7 @@
             flow: u32::MAX - flow,
             upstream: u32::MAX,
         };
-        client.report(host(9), event);
+        client.queue_event(host(9), event);
     }
     let batches = client.take_events();
     assert_eq!(
@@ -419,11 +422,17 @@
     // unreachable.
     let now = Instant::now();
     let mut choice = DispatcherChoice::default();
-    assert!(!choice.missed(now, host(9)));
-    choice.replied(host(9));
-    assert!(!choice.missed(now, host(9)), "a reply resets the count");
-    assert!(!choice.missed(now, host(9)));
-    assert!(choice.missed(now, host(9)), "the third consecutive timeout");
+    assert!(!choice.record_timeout(now, host(9)));
+    choice.record_reply(host(9));
+    assert!(
+        !choice.record_timeout(now, host(9)),
+        "a reply resets the count"
+    );
+    assert!(!choice.record_timeout(now, host(9)));
+    assert!(
+        choice.record_timeout(now, host(9)),
+        "the third consecutive timeout"
+    );
 }
 
 #[test]
@@ -432,10 +441,10 @@
     // that left the zone.
     let now = Instant::now();
     let mut choice = DispatcherChoice::default();
-    (10..30).for_each(|number| _ = choice.missed(now, host(number)));
-    assert!(!choice.missed(now, host(9)));
-    assert!(!choice.missed(now, host(9)));
-    assert!(choice.missed(now, host(9)));
+    (10..30).for_each(|number| _ = choice.record_timeout(now, host(number)));
+    assert!(!choice.record_timeout(now, host(9)));
+    assert!(!choice.record_timeout(now, host(9)));
+    assert!(choice.record_timeout(now, host(9)));
 }
 
 proptest! {
@@ -448,9 +457,9 @@
         for (step, flow, upstream, millis) in steps {
             now += Duration::from_millis(millis);
             match step {
-                0 => ledger.begin(now, flow, upstream),
-                1 => ledger.place(now, flow, upstream),
-                2 => ledger.end(flow),
+                0 => ledger.record_request(now, flow, upstream),
+                1 => ledger.record_placement(now, flow, upstream),
+                2 => ledger.record_end(flow),
                 _ => ledger.expire_requests(now),
             }
             let total: u32 = (0..5).map(|upstream| ledger.in_progress(upstream)).sum();
--- a/packet/tests/test_dispatch_fleet.rs
+++ b/packet/tests/test_dispatch_fleet.rs
@@ -56,7 +56,7 @@
             rig.packet(random.random_range(0..hosts), &open_head(flow, 0));
             flow += 1;
         }
-        rig.pass(1);
+        rig.advance_time(1);
         while let Some(syn) = rig.placed.get(handled).copied() {
             handled += 1;
             rig.request(syn);
@@ -120,7 +120,7 @@
             let syn = rig.place(usize::from(flow) % hosts, flow).unwrap();
             assert!(syn.dispatched, "{hosts} hosts, flow {flow}");
             rig.request(syn);
-            rig.pass(2);
+            rig.advance_time(2);
             let counts = requests_by_upstream(&rig, 6);
             let spread = counts.iter().max().unwrap() - counts.iter().min().unwrap();
             assert!(spread <= 1, "{hosts} hosts, flow {flow}: {counts:?}");
@@ -155,12 +155,12 @@
     for hosts in [1, 8, 30] {
         let mut rig = DispatchRig::new(hosts, 60);
         rig.contended = false;
-        rig.pass(110);
+        rig.advance_time(110);
         for flow in 0..200 {
             let syn = rig.place(usize::from(flow) % hosts, flow).unwrap();
             assert!(!syn.dispatched);
             rig.request(syn);
-            rig.pass(1);
+            rig.advance_time(1);
             rig.finish(syn);
         }
         assert_eq!(rig.park_count, 0, "{hosts} hosts");
@@ -203,7 +203,7 @@
         let host = usize::from(flow) % 7 + 1;
         let syn = rig.place(host, flow).expect("an upstream");
         rig.request(syn);
-        rig.pass(30);
+        rig.advance_time(30);
         rig.finish(syn);
     }
     let last = &rig.placed[80..];
@@ -259,19 +259,19 @@
     // Guards against a new dispatcher that considers all upstreams idle because no request has been
     // reported to it yet.
     let mut rig = DispatchRig::new(8, 6);
-    rig.pass(110);
+    rig.advance_time(110);
     let began = [RequestEvent::Began {
         flow: 1,
         upstream: tag(1),
     }];
     let now = rig.now;
     rig.cores[0].handle_request_events(now, &began);
-    rig.pass(290);
+    rig.advance_time(290);
     assert_eq!(
         verdict_for(&mut rig, 0, &query(2, false)),
         DispatchVerdict::Unknown
     );
-    rig.pass(10);
+    rig.advance_time(10);
     assert_ne!(
         verdict_for(&mut rig, 0, &query(2, false)),
         DispatchVerdict::Unknown
@@ -294,7 +294,7 @@
     for flow in 0..10 {
         let syn = rig.place(1, flow).unwrap();
         rig.request(syn);
-        rig.pass(2);
+        rig.advance_time(2);
         if syn.upstream == 1 {
             rig.finish(syn);
         }
@@ -302,13 +302,13 @@
     // The dispatcher counts equal load on both upstreams, but the first one is idle.
     rig.should_drop = Box::new(|_datagram| false);
     rig.placed.retain(|syn| syn.upstream == 2);
-    rig.pass(1500);
+    rig.advance_time(1500);
     for syn in rig.placed.clone() {
         // Flows of the second upstream continue: their next requests are reported again.
         rig.packet(1, &established_head(syn.flow, 2, 100, 501, 0));
         rig.packet(1, &established_head(syn.flow, 2, 100, 501, 100));
     }
-    rig.pass(700);
+    rig.advance_time(700);
     for flow in 100..103 {
         let syn = rig.place(1, flow).unwrap();
         rig.request(syn);
@@ -331,7 +331,7 @@
         assert!(rig.now - start <= Duration::from_millis(11));
     }
     assert_eq!(rig.park_count - before, 3);
-    rig.pass(110);
+    rig.advance_time(110);
     let syn = rig.place(1, 10).expect("an upstream");
     assert!(
         !syn.dispatched,
@@ -348,12 +348,12 @@
     rig.reply_delay = Duration::from_millis(15);
     for flow in 0..5 {
         rig.place(1, flow).expect("an upstream");
-        rig.pass(30);
+        rig.advance_time(30);
     }
-    rig.pass(110);
+    rig.advance_time(110);
     let before = rig.sent[0].0;
     rig.place(1, 10).expect("an upstream");
-    rig.pass(20);
+    rig.advance_time(20);
     assert_eq!(rig.sent[0].0, before, "it gets no more queries");
 }
 
@@ -377,7 +377,7 @@
     rig.resume_delay = Duration::from_millis(150);
     let before = rig.park_count;
     rig.packet(1, &open_head(1, 0));
-    rig.pass(170);
+    rig.advance_time(170);
     assert_eq!((rig.park_count - before, rig.placed.len()), (1, 1));
 }
 
@@ -388,7 +388,7 @@
     rig.warm_up();
     rig.packet(1, &open_head(1, 0));
     rig.packet(1, &open_head(1, 0));
-    rig.pass(20);
+    rig.advance_time(20);
     assert_eq!(rig.placed.len(), 1);
     assert!(rig.placed[0].dispatched);
 }
@@ -400,10 +400,10 @@
     let mut rig = DispatchRig::new(8, 6);
     rig.warm_up();
     rig.packet(1, &open_head(1, 0));
-    rig.pass(200);
+    rig.advance_time(200);
     let before = rig.park_count;
     rig.packet(1, &open_head(1, 1));
-    rig.pass(20);
+    rig.advance_time(20);
     assert_eq!(rig.park_count - before, 1);
     let records = rig.cores[1].upstreams().records();
     assert_eq!(
@@ -468,7 +468,7 @@
     for _event in 0..500 {
         rig.cores[0].handle_request_events(now, &[RequestEvent::Ended { flow: 1 }]);
     }
-    rig.pass(120);
+    rig.advance_time(120);
     let later = rig.now;
     rig.cores[0].handle_request_events(later, &[RequestEvent::Ended { flow: 1 }]);
     let replied = queued_verdicts(&mut rig, 0, 1);
@@ -484,7 +484,7 @@
     rig.packet(1, &open_head(1, 0));
     let data = established_head(1, 3, 0, 1, 100);
     rig.packet(1, &data);
-    rig.pass(20);
+    rig.advance_time(20);
     assert_eq!(
         rig.placed
             .iter()
@@ -522,14 +522,14 @@
     for turn in 0..30 {
         let (seq, ack) = (turn * 100, 1 + turn * 500);
         rig.packet(1, &established_head(1, busy.upstream, seq, ack, 100));
-        rig.pass(100);
+        rig.advance_time(100);
     }
     for flow in 100..110 {
         let syn = rig.place(1, flow).unwrap();
         assert_eq!((syn.dispatched, syn.upstream), (true, 3 - busy.upstream));
         rig.request(syn);
         rig.finish(syn);
-        rig.pass(10);
+        rig.advance_time(10);
     }
 }
 
@@ -572,7 +572,7 @@
             }
             prop_assert!(!may_be_open || rig.resets.is_empty(), "after {millis} ms");
             may_be_open |= !rig.placed.is_empty() && rig.resets.is_empty();
-            rig.pass(1);
+            rig.advance_time(1);
         }
     }
 }
--- a/packet/tests/test_failing_upstreams.rs
+++ b/packet/tests/test_failing_upstreams.rs
@@ -86,13 +86,13 @@
     for flow in flows.iter_mut().filter(|flow| !flow.waits) {
         flow.send_request(rig);
     }
-    rig.pass(30);
+    rig.advance_time(30);
     for (index, flow) in flows.iter_mut().enumerate() {
         if let Some(bytes) = response_size(flow.upstream, index) {
             flow.receive(rig, bytes);
         }
     }
-    rig.pass(100);
+    rig.advance_time(100);
 }
 
 /// Opens 12 new flows and returns the upstreams that they go to.
@@ -161,7 +161,7 @@
                 _ => Some(RESPONSE_BYTES),
             });
         }
-        rig.pass(700);
+        rig.advance_time(700);
         let failing = take_upstream_changes(&mut rig).contains(&UpstreamChange::Failing);
         assert_eq!(failing, case.ejected, "{}", case.name);
         let chosen = open_new_flows(&mut rig, 100);
@@ -213,7 +213,7 @@
             })
         });
     }
-    rig.pass(700);
+    rig.advance_time(700);
     let chosen = open_new_flows(&mut rig, 100);
     assert!(chosen.len() > 1, "{chosen:?}");
 }
@@ -228,11 +228,11 @@
     }
     take_upstream_changes(&mut rig);
     rig.now += Duration::from_secs(5);
-    rig.pass(200);
+    rig.advance_time(200);
     for flow in &mut flows {
         flow.receive(&mut rig, RESPONSE_BYTES);
     }
-    rig.pass(1000);
+    rig.advance_time(1000);
     assert!(!take_upstream_changes(&mut rig).contains(&UpstreamChange::Failing));
 }
 
@@ -248,14 +248,14 @@
             RESPONSE_BYTES
         })
     });
-    rig.pass(12_000);
+    rig.advance_time(12_000);
     take_upstream_changes(&mut rig);
     for flow in &mut flows {
         let mut end = established_head(flow.number, flow.upstream, flow.seq, flow.ack, 0);
         end.last = true;
         rig.packet(&end);
     }
-    rig.pass(300);
+    rig.advance_time(300);
     assert!(!take_upstream_changes(&mut rig).contains(&UpstreamChange::Failing));
 }
 
@@ -270,7 +270,7 @@
         for flow in &mut flows {
             flow.send_request(&mut rig);
         }
-        rig.pass(100);
+        rig.advance_time(100);
     }
     assert!(!take_upstream_changes(&mut rig).contains(&UpstreamChange::Failing));
 }
@@ -281,7 +281,7 @@
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     for number in 2..5 {
         rig.core
-            .heard(rig.now, address(number), heartbeat(ZONE, 10), false);
+            .handle_heartbeat(rig.now, address(number), heartbeat(ZONE, 10), false);
     }
     for number in 2..5 {
         let answers = OutcomeReport {
@@ -292,7 +292,7 @@
         rig.core
             .handle_failure_reports(address(number), &[FailureReport { tag, answers }]);
     }
-    rig.pass(100);
+    rig.advance_time(100);
     assert!(!open_new_flows(&mut rig, 0).contains(&1));
 }
 
@@ -302,7 +302,7 @@
     let mut flows = open_served_flows(&mut rig);
     for number in 2..100 {
         rig.core
-            .heard(rig.now, address(number), heartbeat(ZONE, 10), false);
+            .handle_heartbeat(rig.now, address(number), heartbeat(ZONE, 10), false);
     }
     assert_eq!(
         rig.core.due_failure_reports(rig.now),
@@ -312,13 +312,13 @@
     for flow in &mut flows {
         flow.send_request(&mut rig);
     }
-    rig.pass(800);
+    rig.advance_time(800);
     let (reports, targets) = rig
         .core
         .due_failure_reports(rig.now)
         .expect("failure reports are due");
     assert_eq!((reports.len(), targets.len()), (4, 24));
-    rig.pass(500);
+    rig.advance_time(500);
     assert_eq!(
         rig.core.due_failure_reports(rig.now),
         None,
--- a/packet/tests/test_failure_detector.rs
+++ b/packet/tests/test_failure_detector.rs
@@ -181,7 +181,7 @@
                 Response => {
                     detector.record_response(now);
                 }
-                PeerResponse(age) => detector.peer_response(time_before(*age)),
+                PeerResponse(age) => detector.record_peer_response(time_before(*age)),
                 Unanswered(age) => {
                     detector.attempt_failed(
                         &config,
