--- a/packet/tests/test_fleet_reading.rs
+++ b/packet/tests/test_fleet_reading.rs
@@ -29,7 +29,7 @@
 fn running_two_zones(seed: u64) -> FleetRig {
     let mut rig = new_two_zones(seed);
     rig.start_all();
-    rig.pass(8000);
+    rig.advance_time(8000);
     rig
 }
 
@@ -59,7 +59,7 @@
         rig.start_all();
         let mut before = [1; 4].to_vec();
         for second in 1..=12 {
-            rig.pass_with_changes(1000, 200);
+            rig.advance_with_changes(1000, 200);
             let counts = reader_counts(&rig);
             // Two hosts of a zone may read at one check, but not at two in succession: a larger
             // host then takes over.
@@ -74,7 +74,7 @@
         }
         assert_eq!(reader_counts(&rig), [1; 4], "seed {seed}");
         let before = rig.now;
-        rig.pass_with_changes(4000, 200);
+        rig.advance_with_changes(4000, 200);
         let watches = rig.calls_since(before, StoreCall::Watch);
         assert!(
             watches <= 4 * 4 * 4,
@@ -124,11 +124,11 @@
         let zone: ZoneName = "zone-1".into();
         let first_reader = rig.readers(&zone)[0];
         rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
-        rig.pass(200);
+        rig.advance_time(200);
         (case.fail)(&mut rig, first_reader);
         let before = rig.now;
         rig.publish(|revision| upstream_item(revision, draining_entry()));
-        rig.pass(IN_FORCE_MILLIS);
+        rig.advance_time(IN_FORCE_MILLIS);
         let unaware = (0..rig.hosts.len()).filter(|index| {
             *index != first_reader && rig.hosts[*index].zone == zone && rig.places_flows(*index)
         });
@@ -147,7 +147,7 @@
         assert!(calls <= 30, "{}: {calls} watches", case.name);
         let lists = rig.calls_since(before, StoreCall::List);
         assert_eq!(lists, 0, "{}", case.name);
-        rig.pass(4000);
+        rig.advance_time(4000);
         let unaware = rig.hosts[first_reader].alive && rig.places_flows(first_reader);
         assert!(
             !unaware,
@@ -165,9 +165,9 @@
     let zone: ZoneName = "zone-1".into();
     let isolated = 0..35;
     rig.isolate(isolated.clone());
-    rig.pass(IN_FORCE_MILLIS);
+    rig.advance_time(IN_FORCE_MILLIS);
     rig.publish(|revision| upstream_item(revision, draining_entry()));
-    rig.pass(IN_FORCE_MILLIS);
+    rig.advance_time(IN_FORCE_MILLIS);
     let unaware = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
     assert_eq!(unaware.count(), 0, "hosts that still place flows");
     let readers = rig.readers(&zone);
@@ -180,7 +180,7 @@
         "{readers:?}"
     );
     rig.isolate([]);
-    rig.pass(3000);
+    rig.advance_time(3000);
     assert_eq!(rig.readers(&zone).len(), 1);
 }
 
@@ -191,11 +191,11 @@
     let before = rig.now;
     for index in (0..rig.hosts.len()).step_by(3) {
         rig.kill(index);
-        rig.pass(100);
+        rig.advance_time(100);
         rig.start(index, Duration::ZERO);
-        rig.pass(100);
+        rig.advance_time(100);
     }
-    rig.pass(1000);
+    rig.advance_time(1000);
     assert!(rig.hosts.iter().all(|host| host.core.is_ready()));
     let lists = rig.calls_since(before, StoreCall::List);
     assert!(lists <= 3, "{lists} lists of 47 hosts");
@@ -209,14 +209,14 @@
     rig.kill(fresh);
     rig.isolate([stale, fresh]);
     rig.hosts[stale].served = false;
-    rig.pass_with_changes(4000, 500);
+    rig.advance_with_changes(4000, 500);
     let changed = rig.position();
     rig.start(fresh, Duration::ZERO);
-    rig.pass(200);
+    rig.advance_time(200);
     assert!(rig.hosts[fresh].core.is_ready(), "with its peer's state");
-    assert!(rig.hosts[fresh].core.view().through() < changed);
-    rig.pass(IN_FORCE_MILLIS);
-    assert_eq!(rig.hosts[fresh].core.view().through(), changed);
+    assert!(rig.hosts[fresh].core.snapshot().through() < changed);
+    rig.advance_time(IN_FORCE_MILLIS);
+    assert_eq!(rig.hosts[fresh].core.snapshot().through(), changed);
 }
 
 #[test]
@@ -258,7 +258,7 @@
         };
         let mut curve = Vec::new();
         for _tenth in 0..14 {
-            rig.pass(100);
+            rig.advance_time(100);
             curve.push(ready(&rig));
         }
         let after = |millis: u64| curve[millis as usize / 100 - 1];
@@ -282,7 +282,7 @@
         host.served = false;
     }
     rig.start_all();
-    rig.pass(5000);
+    rig.advance_time(5000);
     assert!(
         rig.sent <= 300,
         "{} datagrams of two hosts in 5 s",
--- a/packet/tests/test_flow_cost.rs
+++ b/packet/tests/test_flow_cost.rs
@@ -27,7 +27,7 @@
 /// Sends a request, and acknowledges its response after some milliseconds.
 fn exchange(rig: &mut CoreRig, flow: u16, turn: u32, millis: u64) {
     rig.request(flow, 1, turn);
-    rig.pass(millis);
+    rig.advance_time(millis);
     rig.acknowledge(flow, 1, turn);
 }
 
@@ -68,7 +68,7 @@
             run: |rig, flow| {
                 for turn in 0..10 {
                     exchange(rig, flow, turn, 40);
-                    rig.pass(160);
+                    rig.advance_time(160);
                 }
             },
             expected: 200,
@@ -76,7 +76,7 @@
         Case {
             name: "a request that waits over the end of the first second",
             run: |rig, flow| {
-                rig.pass(900);
+                rig.advance_time(900);
                 exchange(rig, flow, 0, 300);
             },
             expected: 100,
@@ -85,13 +85,13 @@
             name: "a request that is never answered",
             run: |rig, flow| {
                 rig.request(flow, 1, 0);
-                rig.pass(3000);
+                rig.advance_time(3000);
             },
             expected: 500,
         },
         Case {
             name: "no request",
-            run: |rig, _flow| rig.pass(2000),
+            run: |rig, _flow| rig.advance_time(2000),
             expected: 0,
         },
     ];
@@ -102,7 +102,7 @@
             (case.run)(&mut rig, flow);
         }
         assert_eq!(expected_load(&rig), case.expected, "{}", case.name);
-        rig.pass(2000);
+        rig.advance_time(2000);
         let measured = rig.core.flow_tracker().costs().measured_flows();
         assert_eq!(measured, 0, "{}: flows are still measured", case.name);
     }
@@ -116,7 +116,7 @@
         rig.establish(flow);
         for turn in 0..12 {
             rig.request(flow, 1, turn);
-            rig.pass(100);
+            rig.advance_time(100);
         }
     }
     assert_eq!(expected_load(&rig), 1000);
@@ -183,7 +183,7 @@
                 end(&mut rig, flow, PacketKind::Established);
             }
         }
-        rig.pass(2000);
+        rig.advance_time(2000);
         let index = rig.core.upstreams().by_tag(tag(1)).unwrap_or_default();
         let service = rig.core.upstreams().get(index).service;
         let costs = rig.core.flow_tracker().costs();
@@ -217,7 +217,7 @@
         rig.request(flow, 1, 0);
     }
     rig.now += Duration::from_secs(2);
-    rig.pass(100);
+    rig.advance_time(100);
     assert_eq!(rig.core.flow_tracker().costs().measured_flows(), 0);
     assert_eq!(expected_load(&rig), FlowCostConfig::default().initial_load);
 }
@@ -253,7 +253,7 @@
     fn packet(&mut self, head: &PacketHead, flow: u16) {
         let (now, index) = (self.now, self.index);
         self.flow_tracker
-            .packet(now, flow_key(flow), head, index, &mut self.upstreams);
+            .handle_packet(now, flow_key(flow), head, index, &mut self.upstreams);
     }
 
     fn set_measured_load(&mut self, in_progress: u32) {
@@ -265,7 +265,7 @@
     }
 
     fn estimated(&self) -> u32 {
-        let config = &self.upstreams.config().room;
+        let config = &self.upstreams.config().load_weight;
         estimated_in_progress(config, self.upstreams.get(self.index), self.now, 30)
     }
 }
--- a/packet/tests/test_flow_load.rs
+++ b/packet/tests/test_flow_load.rs
@@ -29,7 +29,7 @@
     rig.packet(&established_head(999, upstream, 0, 1, 0));
     for turn in 0..16 {
         rig.request(999, upstream, turn);
-        rig.pass(40);
+        rig.advance_time(40);
         rig.acknowledge(999, upstream, turn);
     }
     let mut last = established_head(999, upstream, 1600, 8001, 0);
@@ -99,7 +99,7 @@
         if !case.waits {
             rig.acknowledge(1, 1, 0);
         }
-        rig.pass(case.pass_ms);
+        rig.advance_time(case.pass_ms);
         if case.sends_packet {
             rig.request(1, 1, u32::from(!case.waits));
         }
@@ -115,14 +115,14 @@
     rig.establish(1);
     for turn in 0..10 {
         rig.request(1, 1, turn);
-        rig.pass(50);
+        rig.advance_time(50);
         rig.acknowledge(1, 1, turn);
-        rig.pass(2000);
+        rig.advance_time(2000);
     }
     rig.request(1, 1, 10);
-    rig.pass(50);
+    rig.advance_time(50);
     rig.acknowledge(1, 1, 10);
-    rig.pass(6000);
+    rig.advance_time(6000);
     assert_eq!(load_counts(&rig, 1), (1, 0));
 }
 
@@ -137,12 +137,12 @@
         .filter(|(_flow, at)| *at == 1)
         .map(|(flow, _at)| *flow)
         .collect();
-    rig.pass(1500);
+    rig.advance_time(1500);
     for _copy in 0..3 {
         for flow in &at_first[..2] {
             rig.request(*flow, 1, 0);
         }
-        rig.pass(200);
+        rig.advance_time(200);
     }
     let ended: Vec<u16> = rig
         .resets
@@ -206,9 +206,9 @@
         self.next_caller += 1;
         let core = &mut self.hosts[host].2;
         let mut output = PacketOutput::default();
-        core.packet(self.now, &open_head(number, 0), &mut output);
+        core.handle_packet(self.now, &open_head(number, 0), &mut output);
         let upstream = forwarded(&output.actions)[0];
-        core.packet(
+        core.handle_packet(
             self.now,
             &established_head(number, upstream, 0, 1, 100),
             &mut PacketOutput::default(),
@@ -229,7 +229,7 @@
             let mut last = established_head(number, upstream, 100, 501, 0);
             last.last = true;
             let core = &mut self.hosts[host].2;
-            core.packet(now, &last, &mut PacketOutput::default());
+            core.handle_packet(now, &last, &mut PacketOutput::default());
         }
     }
 
@@ -240,13 +240,13 @@
             let (from, _zone, core) = &mut self.hosts[index];
             let from = *from;
             core.tick(now, &mut PacketOutput::default());
-            core.store_answered(now);
-            for AddressedHeartbeat { heartbeat, targets } in core.round(now, false) {
+            core.store_responded(now);
+            for AddressedHeartbeat { heartbeat, targets } in core.due_heartbeats(now, false) {
                 let hosts = self.hosts.iter_mut();
                 for (_address, _zone, peer) in
                     hosts.filter(|(address, ..)| targets.contains(address))
                 {
-                    peer.heard(now, from, heartbeat.clone(), false);
+                    peer.handle_heartbeat(now, from, heartbeat.clone(), false);
                 }
             }
         }
--- a/packet/tests/test_flow_tracker.rs
+++ b/packet/tests/test_flow_tracker.rs
@@ -47,7 +47,7 @@
         (0, 0),
         "its last acknowledgement starts no new flow"
     );
-    rig.pass(4000);
+    rig.advance_time(4000);
     assert_eq!(rig.core.flow_tracker().open_flows(), 0, "expired");
 }
 
@@ -62,7 +62,7 @@
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.establish(1);
     rig.request(1, 1, 0);
-    rig.pass(40);
+    rig.advance_time(40);
     rig.acknowledge(1, 1, 0);
     let took = rig.events.iter().find_map(|event| match event {
         DecisionEvent::Answered { took } => Some(took.as_millis()),
@@ -91,9 +91,9 @@
                 _ => PacketKind::Established,
             };
             rig.packet(&head);
-            rig.pass(pause);
+            rig.advance_time(pause);
         }
-        rig.pass(20_000);
+        rig.advance_time(20_000);
         prop_assert_eq!(counts(&rig), (0, 0));
         prop_assert_eq!(rig.core.flow_tracker().open_flows(), 0);
     }
--- a/packet/tests/test_load_exchange.rs
+++ b/packet/tests/test_load_exchange.rs
@@ -181,9 +181,9 @@
     let mut flows = flows_to(&[8]);
     run_flows(&mut rig, &mut flows, 2000);
     assert!(is_contended(&rig));
-    rig.pass(2900);
+    rig.advance_time(2900);
     assert!(is_contended(&rig), "2.9 s after the last request");
-    rig.pass(2000);
+    rig.advance_time(2000);
     assert!(!is_contended(&rig), "4.9 s after the last request");
     let record = rig.core.upstreams().records().next().expect("one upstream");
     assert_eq!(
@@ -228,7 +228,7 @@
     assert!(!is_contended(&rig));
     rig.core
         .handle_digest(rig.now, peer(0), &digest(1, true, 5000));
-    rig.pass(300);
+    rig.advance_time(300);
     assert!(
         !is_contended(&rig),
         "a digest does not make it contended either"
@@ -290,10 +290,10 @@
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2]);
         receive_heartbeats(&mut rig, 7);
-        rig.pass(300);
+        rig.advance_time(300);
         rig.core.handle_digest(rig.now, peer(0), &case.digest);
-        rig.pass(case.wait);
-        let contention = rig.core.load().room(rig.now, 0);
+        rig.advance_time(case.wait);
+        let contention = rig.core.load().contention(rig.now, 0);
         let found = (contention.is_contended, contention.pressure);
         assert_eq!(found, (case.contended, case.pressure), "{}", case.name);
     }
@@ -369,7 +369,7 @@
             for flow in &mut failing {
                 rig.packet(&flow.request());
             }
-            rig.pass(case.response_ms);
+            rig.advance_time(case.response_ms);
             for flow in &mut failing {
                 rig.packet(&flow.response(case.bytes));
             }
@@ -380,7 +380,7 @@
         let failures = rig.core.flow_tracker().failures();
         assert_eq!(status.sheds > 0, case.is_shed, "{}", case.name);
         assert_eq!(
-            record.answers.is_failing(),
+            record.outlier_detector.is_failing(),
             case.is_failing,
             "{}",
             case.name
@@ -446,7 +446,7 @@
     urgent.priority = RequestPriority(1);
     config.routes[1] = urgent;
     rig.publish(|revision| routes_item(revision, config));
-    rig.pass(300);
+    rig.advance_time(300);
     let class = RequestClass {
         rank: 1,
         classes: 2,
@@ -462,7 +462,7 @@
     head.service = certs();
     rig.packet(&head);
     assert_eq!(active(&rig), (1, 2), "one flow of the urgent route");
-    rig.pass(3100);
+    rig.advance_time(3100);
     assert_eq!(active(&rig), (0, 1), "no flow of the urgent route for 3 s");
 }
 
@@ -486,7 +486,7 @@
         let counted = allocation_counter::measure(|| {
             for head in &heads {
                 output.clear();
-                rig.core.packet(rig.now, head, &mut output);
+                rig.core.handle_packet(rig.now, head, &mut output);
             }
         });
         allocations += counted.count_total * u64::from(round > 0);
@@ -533,7 +533,7 @@
 fn test_exchange_of_a_large_zone() {
     let counts = [40; 20];
     let mut fleet = LoadFleet::new(300, &counts);
-    fleet.rig.pass(26_000);
+    fleet.rig.advance_time(26_000);
     fleet.run_flows(5000);
     assert_eq!(fleet.contended_hosts(), 300);
     let (reporters, _age) = fleet.load_status(299);
--- a/packet/tests/test_load_failures.rs
+++ b/packet/tests/test_load_failures.rs
@@ -115,19 +115,19 @@
 fn test_digest_with_more_reporters_is_used() {
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     receive_heartbeats(&mut rig, 7);
-    rig.pass(300);
+    rig.advance_time(300);
     let mut smaller = ledger_digest(1, 3, 900);
     rig.core
         .handle_digest(rig.now, peer(0), &ledger_digest(1, 5, 800));
-    rig.pass(100);
+    rig.advance_time(100);
     rig.core.handle_digest(rig.now, peer(1), &smaller);
-    rig.pass(300);
-    assert_eq!(rig.core.load().room(rig.now, 0).pressure, 800 * 8 / 5);
-    rig.pass(500);
+    rig.advance_time(300);
+    assert_eq!(rig.core.load().contention(rig.now, 0).pressure, 800 * 8 / 5);
+    rig.advance_time(500);
     smaller.sequence = 2;
     rig.core.handle_digest(rig.now, peer(1), &smaller);
-    rig.pass(300);
-    let pressure = rig.core.load().room(rig.now, 0).pressure;
+    rig.advance_time(300);
+    let pressure = rig.core.load().contention(rig.now, 0).pressure;
     assert_eq!(
         pressure,
         900 * 8 / 3,
@@ -141,15 +141,15 @@
 fn test_small_digests_do_not_block_larger_one() {
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     receive_heartbeats(&mut rig, 7);
-    rig.pass(300);
+    rig.advance_time(300);
     for sender in 0..20 {
         rig.core
             .handle_digest(rig.now, peer(sender), &ledger_digest(1, 1, 3000));
     }
     rig.core
         .handle_digest(rig.now, peer(20), &ledger_digest(1, 8, 900));
-    rig.pass(100);
-    assert_eq!(rig.core.load().room(rig.now, 0).pressure, 900);
+    rig.advance_time(100);
+    assert_eq!(rig.core.load().contention(rig.now, 0).pressure, 900);
 }
 
 /// Guards against a host that joins the exchange late after its start.
@@ -177,12 +177,12 @@
     run_flows(&mut rig, &mut flows, 2000);
     rig.core
         .handle_digest(rig.now, peer(0), &ledger_digest(9, 4, 2000));
-    rig.pass(300);
+    rig.advance_time(300);
     let before = digest_sequence(&mut rig);
     assert!(is_contended(&rig));
     rig.now += Duration::from_secs(2);
-    rig.pass(300);
-    let contention = rig.core.load().room(rig.now, 0);
+    rig.advance_time(300);
+    let contention = rig.core.load().contention(rig.now, 0);
     assert!(!contention.is_contended);
     assert_eq!(contention.pressure, 0);
     let records = rig.core.upstreams().records();
@@ -252,7 +252,7 @@
 #[test]
 fn test_lost_datagrams_cause_no_second_aggregator() {
     let mut fleet = LoadFleet::new(48, &[8; 14]);
-    fleet.rig.pass(2000);
+    fleet.rig.advance_time(2000);
     fleet.run_flows(3000);
     let aggregators = fleet.aggregators();
     assert_eq!(aggregators.len(), 1);
@@ -274,7 +274,7 @@
             receive_heartbeats(&mut rig, 58);
             receive_heartbeat(&mut rig, 60, 900);
             run_flows(&mut rig, &mut flows, 80);
-            rig.pass(20);
+            rig.advance_time(20);
             let is_lost = step == 36 + phase || step == 42 + phase;
             let is_late = step == 43 + phase;
             if step % 6 == phase && !is_lost || is_late {
@@ -296,19 +296,19 @@
 #[test]
 fn test_digests_that_are_repeated_or_reordered() {
     let mut rig = CoreRig::with_ledger(&[1]);
-    rig.pass(300);
+    rig.advance_time(300);
     rig.core
         .handle_digest(rig.now, peer(0), &ledger_digest(2, 1, 600));
-    rig.pass(500);
+    rig.advance_time(500);
     rig.core
         .handle_digest(rig.now, peer(0), &ledger_digest(1, 1, 500));
     rig.core
         .handle_digest(rig.now, peer(0), &ledger_digest(2, 1, 400));
-    rig.pass(100);
-    assert_eq!(rig.core.load().room(rig.now, 0).pressure, 600);
-    rig.pass(500);
+    rig.advance_time(100);
+    assert_eq!(rig.core.load().contention(rig.now, 0).pressure, 600);
+    rig.advance_time(500);
     assert_eq!(
-        rig.core.load().room(rig.now, 0).pressure,
+        rig.core.load().contention(rig.now, 0).pressure,
         0,
         "a second after the first digest"
     );
@@ -401,7 +401,7 @@
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1]);
         rig.core.handle_load_report(rig.now, peer(0), &case.report);
-        rig.pass(100);
+        rig.advance_time(100);
         let reports = rejected(&rig);
         assert_eq!(reports, usize::from(!case.valid), "{}", case.name);
         assert_eq!(rig.core.load().is_aggregator(), case.valid, "{}", case.name);
@@ -471,7 +471,7 @@
         let mut digest = ledger_digest(1, 4, 900);
         (case.change)(&mut digest);
         rig.core.handle_digest(rig.now, peer(0), &digest);
-        rig.pass(300);
+        rig.advance_time(300);
         assert_eq!(rejected(&rig), usize::from(!case.valid), "{}", case.name);
         assert_eq!(is_contended(&rig), case.valid, "{}", case.name);
     }
@@ -489,7 +489,7 @@
     other.priority = RequestPriority(8);
     config.routes[1] = other;
     rig.publish(|revision| routes_item(revision, config));
-    rig.pass(300);
+    rig.advance_time(300);
     let mut head = open_head(1, 0);
     head.service = certs();
     rig.packet(&head);
@@ -500,7 +500,7 @@
     };
     digest.services[0].classes = vec![(RequestPriority(1), asked), (RequestPriority(2), asked)];
     rig.core.handle_digest(rig.now, peer(0), &digest);
-    rig.pass(100);
+    rig.advance_time(100);
     let class = |rank, classes, priority| RequestClass {
         rank,
         classes,
@@ -526,7 +526,7 @@
 fn test_inconsistent_report_does_not_invalidate_digest() {
     let mut rig = CoreRig::with_ledger(&[1]);
     receive_heartbeats(&mut rig, 1);
-    rig.pass(100);
+    rig.advance_time(100);
     let mut report = ledger_report(1, 10, 2000);
     let counts = RequestCounts {
         answered: 10,
--- a/packet/tests/test_load_reports.rs
+++ b/packet/tests/test_load_reports.rs
@@ -53,7 +53,7 @@
 fn test_digest_of_many_upstreams_fits_a_datagram() {
     let mut rig = rig_with(UPSTREAM_COUNT);
     receive_heartbeats(&mut rig, 50);
-    rig.pass(100);
+    rig.advance_time(100);
     for host in 0..50 {
         let first = u32::from(host) * 100;
         let upstreams: Vec<(FlowTag, RequestCounts)> = (first..first + 100)
@@ -120,7 +120,7 @@
         .min();
     let mean = service.rest.in_progress / u64::from(service.others);
     assert!(least > Some(mean), "listed upstreams have the most load");
-    rig.pass(100);
+    rig.advance_time(100);
     let load = |rig: &CoreRig, tag| {
         let upstreams = rig.core.upstreams();
         upstreams
@@ -180,7 +180,7 @@
                 head.service = addresses[number as usize % 60].0;
                 rig.packet(&head);
             }
-            rig.pass(if is_request { 90 } else { 10 });
+            rig.advance_time(if is_request { 90 } else { 10 });
         }
         for sent in rig.core.due_load_datagrams(rig.now) {
             if let PeerDatagram::Load(report) = &sent.datagram {
@@ -318,7 +318,7 @@
     ) {
         let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
         receive_heartbeats(&mut rig, 4);
-        rig.pass(300);
+        rig.advance_time(300);
         for (from, report) in &reports {
             let before = rig.core.load().rejections();
             rig.core.handle_load_report(rig.now, peer(*from), report);
@@ -333,7 +333,7 @@
             prop_assert!(bytes.len() <= 1400);
             prop_assert_eq!(PeerDatagram::decode(&bytes), Ok(sent.datagram));
         }
-        rig.pass(6000);
+        rig.advance_time(6000);
     }
 
     /// Arbitrary bytes are either decoded or rejected.
@@ -346,6 +346,6 @@
             Ok(PeerDatagram::Digest(digest)) => rig.core.handle_digest(rig.now, peer(0), &digest),
             Ok(_) | Err(_) => {}
         }
-        rig.pass(300);
+        rig.advance_time(300);
     }
 }
--- a/packet/tests/test_lost_upstreams.rs
+++ b/packet/tests/test_lost_upstreams.rs
@@ -22,15 +22,15 @@
         .map(|(flow, _at)| *flow)
         .collect();
     assert!(on_dead.len() >= 4);
-    rig.pass(1000);
+    rig.advance_time(1000);
     for flow in &on_dead[..3] {
         assert_eq!(forwarded(&rig.request(*flow, 1, 0)), [1]);
     }
-    rig.pass(200);
+    rig.advance_time(200);
     for flow in &on_dead[..3] {
         rig.request(*flow, 1, 0);
     }
-    rig.pass(200);
+    rig.advance_time(200);
     let actions = rig.request(on_dead[3], 1, 0);
     assert_eq!(reset_code(&actions), Some(ResultCode::UpstreamSilent));
     for flow in 100..130 {
@@ -51,14 +51,14 @@
     let (busy, idle): (Vec<u16>, Vec<u16>) =
         on(1).partition(|flow| on(1).take(3).any(|first| first == *flow));
     assert!(!idle.is_empty());
-    rig.pass(1000);
+    rig.advance_time(1000);
     for _copy in 0..2 {
         for flow in &busy {
             rig.request(*flow, 1, 0);
         }
-        rig.pass(200);
+        rig.advance_time(200);
     }
-    rig.pass(200);
+    rig.advance_time(200);
     let mut reset_callers: Vec<_> = rig.resets.iter().map(|reset| reset.caller).collect();
     reset_callers.sort_unstable();
     assert_eq!(
@@ -79,9 +79,9 @@
     rig.request(1, 1, 0);
     for turn in 0..8 {
         rig.request(2, 1, turn);
-        rig.pass(50);
+        rig.advance_time(50);
         rig.acknowledge(2, 1, turn);
-        rig.pass(150);
+        rig.advance_time(150);
         let again = rig.request(1, 1, 0);
         assert_eq!(
             forwarded(&again),
@@ -97,12 +97,12 @@
     // Guards against a fault of this host's own link that causes a reset of every flow.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
     let flows: Vec<(u16, u8)> = (0..30).map(|flow| (flow, rig.establish(flow))).collect();
-    rig.pass(500);
+    rig.advance_time(500);
     for _copy in 0..6 {
         for (flow, upstream) in &flows {
             rig.request(*flow, *upstream, 0);
         }
-        rig.pass(400);
+        rig.advance_time(400);
     }
     for (flow, upstream) in &flows {
         assert_eq!(forwarded(&rig.request(*flow, *upstream, 0)), [*upstream]);
@@ -116,7 +116,7 @@
     // upstreams look dead.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<(u16, u8)> = (0..16).map(|flow| (flow, rig.establish(flow))).collect();
-    rig.pass(500);
+    rig.advance_time(500);
     for (flow, upstream) in &flows {
         rig.request(*flow, *upstream, 0);
     }
@@ -140,7 +140,7 @@
     // the time since its last tick or packet.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<(u16, u8)> = (0..24).map(|flow| (flow, rig.establish(flow))).collect();
-    rig.pass(500);
+    rig.advance_time(500);
     let on_first = || flows.iter().filter(|(_flow, at)| *at == 1);
     for (flow, upstream) in on_first() {
         rig.request(*flow, *upstream, 0);
@@ -151,9 +151,9 @@
             assert_eq!(forwarded(&rig.request(*flow, *upstream, 0)), [1]);
         }
     }
-    rig.pass(1500);
+    rig.advance_time(1500);
     assert!(rig.resets.is_empty(), "flows of live upstreams were reset");
-    rig.pass(8000);
+    rig.advance_time(8000);
     let (flow, upstream) = on_first().next().expect("a flow at 1");
     assert_eq!(forwarded(&rig.request(*flow, *upstream, 1)), [1]);
 }
@@ -163,13 +163,13 @@
     // Guards against reordered packets that count as unanswered attempts.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<u16> = (0..40).filter(|flow| rig.establish(*flow) == 1).collect();
-    rig.pass(500);
+    rig.advance_time(500);
     for flow in &flows {
         for seq in [100, 0] {
             let head = established_head(*flow, 1, seq, 1, 100);
             assert_eq!(forwarded(&rig.packet(&head)), [1]);
         }
-        rig.pass(60);
+        rig.advance_time(60);
     }
     assert!(rig.resets.is_empty(), "flows of live upstreams were reset");
     let is_ejected = rig.events.iter().any(|event| {
@@ -189,14 +189,14 @@
     // Guards against expired unanswered attempts that cause a reset.
     let mut rig = CoreRig::with_ledger(&[1, 2, 3, 4]);
     let flows: Vec<u16> = (0..12).filter(|flow| rig.establish(*flow) == 1).collect();
-    rig.pass(1000);
+    rig.advance_time(1000);
     for _copy in 0..2 {
         for flow in &flows {
             rig.request(*flow, 1, 0);
         }
-        rig.pass(100);
+        rig.advance_time(100);
     }
-    rig.pass(10_000);
+    rig.advance_time(10_000);
     assert_eq!(
         forwarded(&rig.request(500, 1, 3)),
         [1],
@@ -230,16 +230,16 @@
         let flow = (0..10)
             .find(|flow| rig.establish(*flow) == 1)
             .expect("a flow at 1");
-        rig.pass(3000);
+        rig.advance_time(3000);
         if case.responds {
             rig.request(flow, 1, 0);
-            rig.pass(20);
+            rig.advance_time(20);
             rig.acknowledge(flow, 1, 0);
         }
         rig.publish(|revision| removed_item(revision, 1));
         let used = (100..140).any(|flow| rig.open(flow, 0).contains(&1));
         assert_eq!(used, case.stays_used, "{}", case.name);
-        rig.pass(2600);
+        rig.advance_time(2600);
         let used = (200..240).any(|flow| rig.open(flow, 0).contains(&1));
         assert!(
             !used,
@@ -254,7 +254,7 @@
     // Guards against flows that are reset with the deregistration of an upstream that still
     // responds, and against flows that wait for one that no longer exists.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
-    rig.pass(2000);
+    rig.advance_time(2000);
     let flow = (0..10)
         .find(|flow| rig.establish(*flow) == 1)
         .expect("a flow at 1");
@@ -262,7 +262,7 @@
     leaving.state = EntryState::Draining;
     rig.publish(|revision| upstream_item(revision, leaving));
     rig.request(flow, 1, 0);
-    rig.pass(20);
+    rig.advance_time(20);
     rig.acknowledge(flow, 1, 0);
     rig.publish(|revision| removed_item(revision, 1));
     assert_eq!(
@@ -270,7 +270,7 @@
         [1],
         "it responded recently"
     );
-    rig.pass(700);
+    rig.advance_time(700);
     let actions = rig.request(flow, 1, 1);
     assert_eq!(reset_code(&actions), Some(ResultCode::UpstreamSilent));
 }
@@ -312,7 +312,7 @@
             rig.core
                 .store_failed(rig.now, &StoreFault::Refused { status: 503 });
         }
-        rig.pass(case.wait_ms);
+        rig.advance_time(case.wait_ms);
         let actions = rig.request(1, 9, 0);
         assert_eq!(describe(&actions[0]), case.expected, "{}", case.name);
     }
--- a/packet/tests/test_moved_callers.rs
+++ b/packet/tests/test_moved_callers.rs
@@ -41,7 +41,7 @@
             "request {turn}"
         );
         rig.acknowledge(7, REMOTE_UPSTREAM, turn);
-        rig.pass(700);
+        rig.advance_time(700);
     }
     assert_eq!(rig.resets.len(), 0);
 }
@@ -52,7 +52,7 @@
     let mut rig = new_zone_host();
     for pause in [200, 400, 800, 1600] {
         assert_eq!(forwarded(&rig.packet(&request_head())), [REMOTE_UPSTREAM]);
-        rig.pass(pause);
+        rig.advance_time(pause);
     }
     assert_eq!(
         rig.resets.len(),
@@ -99,7 +99,7 @@
     ];
     for case in cases {
         let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
-        rig.pass(case.state_age_ms);
+        rig.advance_time(case.state_age_ms);
         if case.receives_registration {
             rig.publish(|revision| upstream_item(revision, remote_entry(REMOTE_UPSTREAM)));
         }
@@ -120,7 +120,7 @@
     let actions = rig.packet(&head);
     assert!(forwarded(&actions).is_empty());
     assert_eq!(reset_code(&actions), None);
-    rig.pass(8000);
+    rig.advance_time(8000);
     assert_eq!(
         reset_code(&rig.packet(&head)),
         Some(ResultCode::FlowUnknown)
--- a/packet/tests/test_names.rs
+++ b/packet/tests/test_names.rs
@@ -84,12 +84,12 @@
             let mut last = established_head(*flow, 0, 100, 501, 0);
             (last.tag, last.last) = (tags[*at], true);
             if *end <= now {
-                core.packet(now, &last, &mut PacketOutput::default());
+                core.handle_packet(now, &last, &mut PacketOutput::default());
             }
             *end > now
         });
         let mut output = PacketOutput::default();
-        core.packet(now, &open_head(step, u32::from(step % 3 == 0)), &mut output);
+        core.handle_packet(now, &open_head(step, u32::from(step % 3 == 0)), &mut output);
         let sent = forwarded(&output.actions);
         outcomes.push(SynResult {
             local: sent.first().map(|number| *number <= 4),
@@ -101,7 +101,7 @@
         let at = *number as usize - 1;
         let mut request = established_head(step, 0, 0, 1, 100);
         request.tag = tags[at];
-        core.packet(now, &request, &mut PacketOutput::default());
+        core.handle_packet(now, &request, &mut PacketOutput::default());
         open.push((now + Duration::from_millis(150), step, at));
     }
     outcomes
--- a/packet/tests/test_outlier_detector.rs
+++ b/packet/tests/test_outlier_detector.rs
@@ -78,8 +78,8 @@
     for case in cases {
         let now = Instant::now();
         let mut record = OutlierDetector::default();
-        (0..case.served).for_each(|_request| record.served(now));
-        (0..case.failed).for_each(|_request| record.returned_error(now));
+        (0..case.served).for_each(|_request| record.record_served(now));
+        (0..case.failed).for_each(|_request| record.record_error(now));
         record.add_peer_counts(case.elsewhere);
         assert_eq!(
             record.evaluate(&OutlierConfig::default(), now),
@@ -115,8 +115,8 @@
         let start = Instant::now();
         let at = |millis| start + Duration::from_millis(millis);
         let mut record = OutlierDetector::default();
-        (0..60).for_each(|_request| record.served(at(case.served_at)));
-        (0..3).for_each(|_request| record.timed_out(at(600), at(100)));
+        (0..60).for_each(|_request| record.record_served(at(case.served_at)));
+        (0..3).for_each(|_request| record.record_timeout(at(600), at(100)));
         record.evaluate(&OutlierConfig::default(), at(600));
         assert_eq!(record.is_failing(), case.failing, "{}", case.name);
     }
@@ -145,12 +145,12 @@
     for case in cases {
         let start = Instant::now();
         let mut record = OutlierDetector::default();
-        (0..4).for_each(|_request| record.returned_error(start));
+        (0..4).for_each(|_request| record.record_error(start));
         let mut returned_at = None;
         for millis in (0..10_000).step_by(100) {
             let now = start + Duration::from_millis(millis);
             if case.served_after == Some(millis) {
-                record.served(now);
+                record.record_served(now);
             }
             record.evaluate(&OutlierConfig::default(), now);
             if !record.is_failing() {
@@ -204,19 +204,19 @@
     for case in cases {
         let mut mean = ResponseSizeMean::default();
         assert!(
-            !mean.learn(&OutlierConfig::default(), case.last_size),
+            !mean.record(&OutlierConfig::default(), case.last_size),
             "{}: no earlier responses",
             case.name
         );
         for bytes in case.usual_sizes.iter().cycle().take(200) {
             assert!(
-                !mean.learn(&OutlierConfig::default(), *bytes),
+                !mean.record(&OutlierConfig::default(), *bytes),
                 "{}: {bytes}",
                 case.name
             );
         }
         assert_eq!(
-            mean.learn(&OutlierConfig::default(), case.last_size),
+            mean.record(&OutlierConfig::default(), case.last_size),
             case.short,
             "{}",
             case.name
--- a/packet/tests/test_peer_table.rs
+++ b/packet/tests/test_peer_table.rs
@@ -73,7 +73,7 @@
         for sender in 0..hosts.len() {
             let from = address(sender as u8 + 1);
             let round = hosts[sender]
-                .round(now, false, false)
+                .due_round(now, false, false)
                 .expect("a round is due");
             let targets: Vec<SocketAddrV4> = round.targets().collect();
             max_targets = max_targets.max(targets.len());
@@ -82,11 +82,11 @@
             for target in targets {
                 let index = usize::from(target.ip().octets()[3]) - 1;
                 if index < hosts.len() {
-                    let outcome = hosts[index].heard(now, from, message.clone());
+                    let outcome = hosts[index].merge_heartbeat(now, from, message.clone());
                     if outcome.is_new {
                         let mut reply = heartbeat(ZONE, 1);
                         reply.named = hosts[index].sample_peers_in(now, &ZONE.into());
-                        hosts[sender].heard(now, target, reply);
+                        hosts[sender].merge_heartbeat(now, target, reply);
                     }
                 }
             }
@@ -102,11 +102,11 @@
 fn test_silent_peers_count_as_down() {
     let mut now = Instant::now();
     let mut table = table(&[]);
-    table.heard(now, address(2), heartbeat(ZONE, 1));
-    table.heard(now, address(3), heartbeat("b", 1));
-    assert_eq!((table.local_hosts(now), table.alive_hosts(now)), (2, 2));
+    table.merge_heartbeat(now, address(2), heartbeat(ZONE, 1));
+    table.merge_heartbeat(now, address(3), heartbeat("b", 1));
+    assert_eq!((table.local_hosts(now), table.live_hosts(now)), (2, 2));
     now += Duration::from_secs(4);
-    assert_eq!((table.local_hosts(now), table.alive_hosts(now)), (1, 0));
+    assert_eq!((table.local_hosts(now), table.live_hosts(now)), (1, 0));
 }
 
 #[test]
@@ -213,18 +213,18 @@
         let start = Instant::now();
         let mut table = table(&[]);
         for (number, zone, through) in case.peers {
-            table.heard(start, address(*number), heartbeat(zone, *through));
+            table.merge_heartbeat(start, address(*number), heartbeat(zone, *through));
         }
-        let first = table.source(start, &query(case.own), case.state);
+        let first = table.state_source(start, &query(case.own), case.state);
         let now = start + Duration::from_millis(case.wait_ms);
         let chosen = if case.wait_ms == 0 {
             first
         } else {
-            table.source(now, &query(case.own), case.state)
+            table.state_source(now, &query(case.own), case.state)
         };
         assert_eq!(chosen, case.expected.map(address), "{}", case.name);
         assert_eq!(
-            table.source(now, &query(case.own), case.state),
+            table.state_source(now, &query(case.own), case.state),
             None,
             "{}: no second request at once",
             case.name
@@ -240,9 +240,9 @@
     for own in 100..170 {
         let mut table = PeerTable::new(address(own), ZONE.into(), Vec::new());
         for number in 1..=20 {
-            table.heard(now, address(number), heartbeat(ZONE, 9));
+            table.merge_heartbeat(now, address(number), heartbeat(ZONE, 9));
         }
-        chosen.extend(table.source(now, &query(0), SyncState::Empty));
+        chosen.extend(table.state_source(now, &query(0), SyncState::Empty));
     }
     let busiest = (1..=20)
         .map(|number| {
@@ -273,12 +273,13 @@
     // Guards against short heartbeats that remove the last reports, or make them appear recent.
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     let message = heartbeat_with_report();
-    rig.core.heard(rig.now, address(2), message.clone(), false);
+    rig.core
+        .handle_heartbeat(rig.now, address(2), message.clone(), false);
     let heard_at = rig.now;
-    rig.pass(500);
+    rig.advance_time(500);
     rig.core
-        .heard(rig.now, address(2), message.short_heartbeat(), false);
-    rig.pass(100);
+        .handle_heartbeat(rig.now, address(2), message.short_heartbeat(), false);
+    rig.advance_time(100);
     let upstreams = rig.core.upstreams();
     let index = upstreams.by_tag(tag(1)).expect("known");
     let record = upstreams.get(index);
@@ -293,17 +294,17 @@
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     for _heartbeat in 0..3 {
         rig.core
-            .heard(rig.now, address(2), heartbeat_with_report(), false);
+            .handle_heartbeat(rig.now, address(2), heartbeat_with_report(), false);
     }
-    rig.pass(100);
+    rig.advance_time(100);
     assert!(
         (0..20).all(|flow| rig.establish(flow) == 2),
         "the other upstream has 30 flows"
     );
-    rig.pass(10_000);
+    rig.advance_time(10_000);
     rig.core
-        .heard(rig.now, address(3), heartbeat(ZONE, 10), false);
-    rig.pass(100);
+        .handle_heartbeat(rig.now, address(3), heartbeat(ZONE, 10), false);
+    rig.advance_time(100);
     let elsewhere: u32 = rig
         .core
         .upstreams()
--- a/packet/tests/test_read_role.rs
+++ b/packet/tests/test_read_role.rs
@@ -19,7 +19,7 @@
     core: PacketCore,
     /// The host runs, and its packets arrive.
     alive: bool,
-    /// The store answers this host.
+    /// The store responds to this host.
     store_reachable: bool,
     reads: bool,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance_time(&mut self, millis: u64) {
         for _tick in 0..millis / 100 {
             self.now += Duration::from_millis(100);
             for index in 0..self.hosts.len() {
@@ -78,13 +78,13 @@
         host.core.tick(now, &mut PacketOutput::default());
         host.reads = host.core.reads();
         if host.reads && host.store_reachable {
-            host.core.store_answered(now);
+            host.core.store_responded(now);
         } else if host.reads {
             host.core
                 .store_failed(now, &StoreFault::Refused { status: 503 });
         }
         let from = host.address;
-        let heartbeats = host.core.round(now, false);
+        let heartbeats = host.core.due_heartbeats(now, false);
         self.deliver(from, &heartbeats);
     }
 
@@ -104,7 +104,7 @@
             };
             let replies = self.hosts[to]
                 .core
-                .heard(now, from, heartbeat.clone(), false);
+                .handle_heartbeat(now, from, heartbeat.clone(), false);
             self.deliver(target, &replies.heartbeats);
         }
     }
@@ -123,7 +123,7 @@
         let mut capacities = vec![38; count];
         capacities[count / 2] = 500;
         let mut rig = ZoneRig::start(&capacities);
-        rig.pass(10_000);
+        rig.advance_time(10_000);
         assert_eq!(rig.readers(), [count / 2], "of {count}");
     }
 }
@@ -143,18 +143,18 @@
             within_ms: 2000,
         },
         Case {
-            name: "not answered by the store",
+            name: "no response from the store",
             fail: |host| host.store_reachable = false,
             within_ms: 1200,
         },
     ];
     for case in cases {
         let mut rig = ZoneRig::start(&[250, 250, 250, 250, 250, 250, 250, 250]);
-        rig.pass(5000);
+        rig.advance_time(5000);
         let first_readers = rig.readers();
         assert_eq!(first_readers.len(), 1, "{}", case.name);
         (case.fail)(&mut rig.hosts[first_readers[0]]);
-        rig.pass(case.within_ms);
+        rig.advance_time(case.within_ms);
         let others = rig
             .readers()
             .into_iter()
@@ -165,7 +165,7 @@
             case.name,
             rig.readers()
         );
-        rig.pass(3000);
+        rig.advance_time(3000);
         let others = rig
             .readers()
             .into_iter()
@@ -177,12 +177,12 @@
 #[test]
 fn test_former_reader_takes_over_again() {
     let mut rig = ZoneRig::start(&[38, 500, 38]);
-    rig.pass(5000);
+    rig.advance_time(5000);
     rig.hosts[1].alive = false;
-    rig.pass(5000);
+    rig.advance_time(5000);
     assert_eq!(rig.readers().len(), 1);
     rig.hosts[1].alive = true;
-    rig.pass(5000);
+    rig.advance_time(5000);
     assert_eq!(rig.readers(), [1], "the largest host reads again");
 }
 
@@ -190,10 +190,10 @@
 fn test_unavailable_store_is_called_by_few_readers() {
     // Guards against a store outage in which every host of the zone calls the store.
     let mut rig = ZoneRig::start(&[38; 60]);
-    rig.pass(5000);
+    rig.advance_time(5000);
     for host in &mut rig.hosts {
         host.store_reachable = false;
     }
-    rig.pass(10_000);
+    rig.advance_time(10_000);
     assert!(rig.readers().len() <= 16, "{} readers", rig.readers().len());
 }
--- a/packet/tests/test_restored_fleet.rs
+++ b/packet/tests/test_restored_fleet.rs
@@ -34,7 +34,7 @@
         seed,
     });
     rig.start_all();
-    rig.pass(8000);
+    rig.advance_time(8000);
     rig
 }
 
@@ -87,16 +87,16 @@
         for _change in 0..case.lost {
             rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
         }
-        rig.pass(2000);
+        rig.advance_time(2000);
         rig.restore_store(&backup);
-        rig.pass(STORE_STABLE_MILLIS);
+        rig.advance_time(STORE_STABLE_MILLIS);
         rig.publish(|revision| routes_item(revision, default_routes(2)));
         rig.publish(|revision| upstream_item(revision, draining_entry()));
-        rig.pass(IN_FORCE_MILLIS);
+        rig.advance_time(IN_FORCE_MILLIS);
         let versions: Vec<u64> = rig
             .hosts
             .iter()
-            .filter_map(|host| Some(host.core.view().routes()?.version))
+            .filter_map(|host| Some(host.core.snapshot().routes()?.version))
             .collect();
         let behind = versions.iter().filter(|version| **version != 2);
         assert_eq!(behind.count(), 0, "{}: {versions:?}", case.name);
@@ -117,10 +117,10 @@
     for hosts_per_zone in [3, 60] {
         let mut rig = settled_fleet(5, hosts_per_zone, 2);
         let backup = rig.back_up_store();
-        rig.pass_with_changes(2000, 500);
+        rig.advance_with_changes(2000, 500);
         let before = rig.now;
         rig.restore_store(&backup);
-        rig.pass(STORE_STABLE_MILLIS);
+        rig.advance_time(STORE_STABLE_MILLIS);
         let lists = rig.calls_since(before, StoreCall::List);
         let watches = rig.calls_since(before, StoreCall::Watch);
         assert!(
@@ -140,23 +140,23 @@
     let zones = 5;
     let mut rig = settled_fleet(zones, 60, 2);
     let backup = rig.back_up_store();
-    rig.pass_with_changes(2000, 500);
+    rig.advance_with_changes(2000, 500);
     for host in &mut rig.hosts {
         host.served = false;
     }
     rig.cut_watches();
-    rig.pass(3000);
+    rig.advance_time(3000);
     rig.restore_store(&backup);
     for host in &mut rig.hosts {
         host.served = true;
     }
     let before = rig.now;
-    rig.pass(STORE_STABLE_MILLIS);
+    rig.advance_time(STORE_STABLE_MILLIS);
     let position = rig.position();
     let behind = rig
         .hosts
         .iter()
-        .filter(|host| host.core.view().through() != position);
+        .filter(|host| host.core.snapshot().through() != position);
     assert_eq!(behind.count(), 0, "hosts that stay in the earlier era");
     let lists = rig.calls_since(before, StoreCall::List);
     assert!(
@@ -174,7 +174,7 @@
     for _change in 0..20 {
         rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
     }
-    rig.pass(1000);
+    rig.advance_time(1000);
     let isolated: Vec<HostIndex> = (8..12).collect();
     rig.isolate(isolated.clone());
     for index in &isolated {
@@ -182,7 +182,7 @@
     }
     rig.restore_store(&backup);
     rig.publish(|revision| upstream_item(revision, draining_entry()));
-    rig.pass(10_000);
+    rig.advance_time(10_000);
     let still_placing = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
     assert_eq!(
         still_placing.collect::<Vec<_>>(),
@@ -190,7 +190,7 @@
         "the partitioned zone continues with the state that it has"
     );
     rig.isolate([]);
-    rig.pass(IN_FORCE_MILLIS);
+    rig.advance_time(IN_FORCE_MILLIS);
     let still_placing = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
     assert_eq!(
         still_placing.count(),
@@ -201,7 +201,7 @@
     let behind = rig
         .hosts
         .iter()
-        .filter(|host| host.core.view().through() != position);
+        .filter(|host| host.core.snapshot().through() != position);
     assert_eq!(behind.count(), 0);
 }
 
@@ -212,15 +212,15 @@
     let mut rig = settled_fleet(3, 3, 4);
     let backup = rig.back_up_store();
     rig.publish(|revision| routes_item(revision, default_routes(9)));
-    rig.pass(1000);
+    rig.advance_time(1000);
     let restarted = 8;
     rig.kill(restarted);
     rig.restore_store(&backup);
     rig.isolate([restarted]);
     rig.start(restarted, Duration::ZERO);
-    rig.pass(STORE_STABLE_MILLIS);
+    rig.advance_time(STORE_STABLE_MILLIS);
     let version = |rig: &FleetRig, index: HostIndex| {
-        let routes = rig.hosts[index].core.view().routes();
+        let routes = rig.hosts[index].core.snapshot().routes();
         routes.map(|routes| routes.version)
     };
     assert_eq!(
@@ -229,7 +229,7 @@
         "it has read the restored store"
     );
     rig.isolate([]);
-    rig.pass(IN_FORCE_MILLIS);
+    rig.advance_time(IN_FORCE_MILLIS);
     for index in 0..rig.hosts.len() {
         assert_eq!(version(&rig, index), Some(9), "host {index}");
     }
@@ -249,7 +249,7 @@
             disturb: |rig, backup| {
                 rig.restore_store(backup);
                 rig.publish(|revision| upstream_item(revision, entry(1, "ledger")));
-                rig.pass(700);
+                rig.advance_time(700);
                 rig.restore_store(backup);
             },
         },
@@ -260,7 +260,7 @@
                     host.served = false;
                 }
                 rig.cut_watches();
-                rig.pass(2500);
+                rig.advance_time(2500);
                 rig.restore_store(backup);
                 for host in &mut rig.hosts {
                     host.served = true;
@@ -274,7 +274,7 @@
                     rig.kill(index);
                     rig.start(index, Duration::from_millis(300));
                 }
-                rig.pass(310);
+                rig.advance_time(310);
                 rig.restore_store(backup);
             },
         },
@@ -285,7 +285,7 @@
                     rig.kill(index);
                     rig.start(index, Duration::from_millis(100));
                 }
-                rig.pass(140);
+                rig.advance_time(140);
                 rig.restore_store(backup);
             },
         },
@@ -315,17 +315,17 @@
         for seed in 1..=3 {
             let mut rig = settled_fleet(3, 12, seed);
             let backup = rig.back_up_store();
-            rig.pass_with_changes(2000, 250);
+            rig.advance_with_changes(2000, 250);
             (case.disturb)(&mut rig, &backup);
-            rig.pass(STORE_STABLE_MILLIS);
+            rig.advance_time(STORE_STABLE_MILLIS);
             rig.publish(|revision| routes_item(revision, default_routes(2)));
             rig.publish(|revision| upstream_item(revision, draining_entry()));
-            rig.pass(IN_FORCE_MILLIS);
+            rig.advance_time(IN_FORCE_MILLIS);
             let position = rig.position();
             let behind = rig
                 .hosts
                 .iter()
-                .filter(|host| host.core.view().through() != position);
+                .filter(|host| host.core.snapshot().through() != position);
             assert_eq!(behind.count(), 0, "{}, seed {seed}", case.name);
             let still_placing = (0..rig.hosts.len()).filter(|index| rig.places_flows(*index));
             assert_eq!(still_placing.count(), 0, "{}, seed {seed}", case.name);
--- a/packet/tests/test_restored_store.rs
+++ b/packet/tests/test_restored_store.rs
@@ -184,17 +184,17 @@
         }
         rig.restore(10, backup_items());
         let mut observed = vec![gets_flows(&mut rig, case.upstream)];
-        rig.pass(500);
+        rig.advance_time(500);
         if let Some(entry) = case.rewritten {
             rig.publish(|revision| upstream_item(revision, entry));
         }
-        rig.pass(500);
+        rig.advance_time(500);
         observed.push(gets_flows(&mut rig, case.upstream));
-        rig.pass(1500);
+        rig.advance_time(1500);
         if case.is_removed_again {
             rig.publish(|revision| removed_item(revision, case.upstream));
         }
-        rig.pass(3500);
+        rig.advance_time(3500);
         observed.push(gets_flows(&mut rig, case.upstream));
         assert_eq!(observed, case.expected, "{}", case.name);
     }
@@ -214,11 +214,11 @@
             assert_eq!(rig.establish(*flow), 3);
         }
         rig.publish(|revision| upstream_item(revision, entry_after_writes(3, 2, state)));
-        rig.pass(8000);
+        rig.advance_time(8000);
         rig.restore(10, backup_items());
-        rig.pass(3000);
+        rig.advance_time(3000);
         rig.publish(|revision| upstream_item(revision, entry_after_writes(3, 3, state)));
-        rig.pass(6000);
+        rig.advance_time(6000);
         assert_eq!(rig.resets, Vec::new(), "{state:?}");
         for flow in &flows {
             assert_eq!(forwarded(&rig.request(*flow, 3, 0)), [3], "{state:?}");
@@ -232,7 +232,7 @@
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     rig.publish(|revision| routes_item(revision, routes(9, &[(certs(), "certs")])));
     rig.restore(10, backup_items());
-    let version = |rig: &CoreRig| rig.core.view().routes().map(|routes| routes.version);
+    let version = |rig: &CoreRig| rig.core.snapshot().routes().map(|routes| routes.version);
     assert_eq!(version(&rig), Some(9));
     assert!(
         rig.open(1, 0).is_empty(),
@@ -313,12 +313,12 @@
         rig.restore(10, items);
         let evacuated = |rig: &CoreRig| rig.core.upstreams().evacuated().contains_key("b");
         let mut observed = vec![evacuated(&rig)];
-        rig.pass(1000);
+        rig.advance_time(1000);
         for item in case.rewritten {
             rig.publish(|_revision| item);
         }
         observed.push(evacuated(&rig));
-        rig.pass(30_000);
+        rig.advance_time(30_000);
         observed.push(evacuated(&rig));
         assert_eq!(observed, case.expected, "{}", case.name);
     }
@@ -332,9 +332,9 @@
     rig.publish(|revision| upstream_item(revision, entry_after_writes(3, 1, EntryState::Ready)));
     rig.publish(|revision| upstream_item(revision, entry_after_writes(1, 5, EntryState::Draining)));
     rig.restore(10, backup_items());
-    rig.pass(4000);
+    rig.advance_time(4000);
     rig.restore(10, backup_items());
-    rig.pass(4000);
+    rig.advance_time(4000);
     assert!(
         gets_flows(&mut rig, 3),
         "the unlisted upstream gets no flows"
@@ -372,8 +372,8 @@
 }
 
 /// Returns the items of a snapshot without their positions, which may be of different eras.
-fn held_entries(view: &StateSnapshot) -> Vec<PublishedItem> {
-    let mut items = view.update_since(&StateQuery::default()).items;
+fn held_entries(snapshot: &StateSnapshot) -> Vec<PublishedItem> {
+    let mut items = snapshot.update_since(&StateQuery::default()).items;
     for item in &mut items {
         item.position = at(0);
     }
--- a/packet/tests/test_start_plan.rs
+++ b/packet/tests/test_start_plan.rs
@@ -44,13 +44,13 @@
             list_ms: (20, 50),
         },
         Case {
-            name: "a peer does not answer",
+            name: "a peer does not reply",
             has_seeds: true,
             events: &[StartEvent::Requested(10)],
             list_ms: (250, 400),
         },
         Case {
-            name: "several peers in turn do not answer",
+            name: "several peers in turn do not reply",
             has_seeds: true,
             events: &[
                 StartEvent::Requested(10),
@@ -89,8 +89,8 @@
         for event in case.events {
             let _waits = plan.list_deferred_until(start, case.has_seeds);
             match event {
-                StartEvent::Requested(at) => plan.asked(start + millis(*at)),
-                StartEvent::Refused(at) => plan.refused(start + millis(*at)),
+                StartEvent::Requested(at) => plan.state_requested(start + millis(*at)),
+                StartEvent::Refused(at) => plan.state_refused(start + millis(*at)),
                 StartEvent::Abandoned(at) => plan.list_abandoned(start + millis(*at)),
             }
         }
--- a/packet/tests/test_store_feed.rs
+++ b/packet/tests/test_store_feed.rs
@@ -28,7 +28,8 @@
 
 fn listed_feed() -> StoreFeed {
     let mut feed = StoreFeed::default();
-    feed.listed(list_page(10, &[1], None)).expect("one page");
+    feed.accept_page(list_page(10, &[1], None))
+        .expect("one page");
     feed
 }
 
@@ -52,7 +53,7 @@
     let mut feed = StoreFeed::default();
     let now = Instant::now();
     assert_eq!(
-        feed.listed(list_page(10, &[1], Some("servers/i-01"))),
+        feed.accept_page(list_page(10, &[1], Some("servers/i-01"))),
         Ok(None)
     );
     let next = FeedStep::List {
@@ -61,7 +62,7 @@
     };
     assert_eq!(feed.next_step(now), next);
     let update = feed
-        .listed(list_page(14, &[2], None))
+        .accept_page(list_page(14, &[2], None))
         .expect("pages of one era")
         .expect("the list is complete");
     assert_eq!(
@@ -118,7 +119,7 @@
     for case in cases {
         let mut feed = listed_feed();
         let now = Instant::now();
-        feed.failed(now, &case.fault);
+        feed.call_failed(now, &case.fault);
         let waits = matches!(feed.next_step(now), FeedStep::Wait { .. });
         assert_eq!(waits, case.waits, "{}", case.name);
         let later = now + Duration::from_secs(2);
@@ -136,8 +137,8 @@
     // Guards against listing without a pause when the store drops its history repeatedly.
     let mut feed = listed_feed();
     let now = Instant::now();
-    feed.failed(now, &StoreFault::HistoryDropped);
-    feed.failed(now, &StoreFault::HistoryDropped);
+    feed.call_failed(now, &StoreFault::HistoryDropped);
+    feed.call_failed(now, &StoreFault::HistoryDropped);
     assert!(matches!(feed.next_step(now), FeedStep::Wait { .. }));
 }
 
@@ -153,7 +154,7 @@
             FeedStep::Wait { until } => now = until,
             _ => {
                 calls += 1;
-                feed.failed(now, &StoreFault::TimedOut);
+                feed.call_failed(now, &StoreFault::TimedOut);
             }
         }
     }
@@ -168,14 +169,14 @@
     // A page fails after others have arrived. Continuing with the pages of a later list would mix
     // two states.
     let mut feed = StoreFeed::default();
-    feed.listed(list_page(10, &[1], Some("servers/i-01")))
+    feed.accept_page(list_page(10, &[1], Some("servers/i-01")))
         .expect("a page");
     let now = Instant::now();
-    feed.failed(now, &StoreFault::TimedOut);
+    feed.call_failed(now, &StoreFault::TimedOut);
     let later = now + Duration::from_secs(2);
     assert_eq!(feed.next_step(later), first_page());
     let update = feed
-        .listed(list_page(20, &[2], None))
+        .accept_page(list_page(20, &[2], None))
         .expect("pages of one era")
         .expect("one page is all");
     assert_eq!((update.items.len(), update.through), (1, at(20)));
@@ -190,7 +191,7 @@
         changed: true,
         position: at(12),
     };
-    let update = feed.changed(now, batch).expect("it continues");
+    let update = feed.accept_watch_batch(now, batch).expect("it continues");
     assert_eq!((update.after, update.through), (at(10), at(12)));
     assert!(
         matches!(feed.next_step(now), FeedStep::Wait { .. }),
@@ -202,7 +203,8 @@
         position: at(12),
     };
     let mut feed = listed_feed();
-    feed.changed(now, no_changes).expect("it continues");
+    feed.accept_watch_batch(now, no_changes)
+        .expect("it continues");
     assert_eq!(
         feed.next_step(now),
         watch(12, WATCH_WAIT),
@@ -257,7 +259,7 @@
         let mut feed = StoreFeed::default();
         if case.history_dropped {
             feed.advance_to(at(10));
-            feed.failed(now, &StoreFault::HistoryDropped);
+            feed.call_failed(now, &StoreFault::HistoryDropped);
         }
         feed.advance_to(at(case.peer_state));
         assert_eq!(feed.next_step(now), case.expected, "{}", case.name);
@@ -269,13 +271,13 @@
     // Guards against a listing that begins with the pages of an abandoned one.
     let now = Instant::now();
     let mut feed = StoreFeed::default();
-    feed.listed(list_page(10, &[1], Some("servers/i-01")))
+    feed.accept_page(list_page(10, &[1], Some("servers/i-01")))
         .expect("a page");
     feed.advance_to(at(30));
-    feed.failed(now, &StoreFault::HistoryDropped);
+    feed.call_failed(now, &StoreFault::HistoryDropped);
     assert_eq!(feed.next_step(now), first_page());
     let update = feed
-        .listed(list_page(50, &[2], None))
+        .accept_page(list_page(50, &[2], None))
         .expect("pages of one era")
         .expect("one page is all");
     assert_eq!((update.items.len(), update.through), (1, at(50)));
@@ -286,9 +288,9 @@
     // Guards against a first watch that waits at the store, so that other hosts take over as well.
     let now = Instant::now();
     let mut feed = listed_feed();
-    feed.pause();
+    feed.restart_calls();
     assert_eq!(feed.next_step(now), watch(10, FIRST_WATCH_WAIT));
-    feed.changed(
+    feed.accept_watch_batch(
         now,
         WatchBatch {
             items: Vec::new(),
@@ -322,58 +324,58 @@
     struct Case {
         name: &'static str,
         watch_after: StorePosition,
-        answered: StorePosition,
+        received: StorePosition,
         expected: Result<(), StoreFault>,
         lists: bool,
     }
-    let regressed = |answered, known| StoreFault::Regressed { answered, known };
+    let regressed = |received, known| StoreFault::Regressed { received, known };
     let cases = [
         Case {
             name: "the same era",
             watch_after: in_era(2, 10),
-            answered: in_era(2, 12),
+            received: in_era(2, 12),
             expected: Ok(()),
             lists: false,
         },
         Case {
             name: "a later era at a smaller revision",
             watch_after: in_era(2, 10),
-            answered: in_era(3, 4),
+            received: in_era(3, 4),
             expected: Err(StoreFault::EraChanged { era: 3 }),
             lists: true,
         },
         Case {
             name: "a later era at a larger revision: the store was restored during the watch",
             watch_after: in_era(2, 10),
-            answered: in_era(3, 14),
+            received: in_era(3, 14),
             expected: Err(StoreFault::EraChanged { era: 3 }),
             lists: true,
         },
         Case {
             name: "some eras later",
             watch_after: in_era(2, 10),
-            answered: in_era(9, 10),
+            received: in_era(9, 10),
             expected: Err(StoreFault::EraChanged { era: 9 }),
             lists: true,
         },
         Case {
             name: "an earlier era",
             watch_after: in_era(2, 10),
-            answered: in_era(1, 40),
+            received: in_era(1, 40),
             expected: Err(regressed(in_era(1, 40), in_era(2, 10))),
             lists: false,
         },
         Case {
             name: "no era, after an earlier response had one",
             watch_after: in_era(2, 10),
-            answered: in_era(0, 11),
+            received: in_era(0, 11),
             expected: Err(regressed(in_era(0, 11), in_era(2, 10))),
             lists: false,
         },
         Case {
             name: "a smaller revision in the same era: a stale read",
             watch_after: in_era(2, 10),
-            answered: in_era(2, 9),
+            received: in_era(2, 9),
             expected: Ok(()),
             lists: false,
         },
@@ -382,9 +384,9 @@
         let now = Instant::now();
         let mut feed = StoreFeed::default();
         feed.advance_to(case.watch_after);
-        let answer = feed.changed(now, batch_at(case.answered));
+        let answer = feed.accept_watch_batch(now, batch_at(case.received));
         if let Err(fault) = &answer {
-            feed.failed(now, fault);
+            feed.call_failed(now, fault);
         }
         assert_eq!(answer.map(drop), case.expected, "{}", case.name);
         let later = now + Duration::from_secs(2);
@@ -401,13 +403,13 @@
     // Guards against a list whose pages are from before and after the store was restored.
     let now = Instant::now();
     let mut feed = StoreFeed::default();
-    let first = feed.listed(page_at(in_era(1, 50), Some("servers/i-01")));
+    let first = feed.accept_page(page_at(in_era(1, 50), Some("servers/i-01")));
     assert_eq!(first, Ok(None));
-    let second = feed.listed(page_at(in_era(2, 20), None));
+    let second = feed.accept_page(page_at(in_era(2, 20), None));
     assert_eq!(second, Err(StoreFault::EraChanged { era: 2 }));
-    feed.failed(now, &StoreFault::EraChanged { era: 2 });
+    feed.call_failed(now, &StoreFault::EraChanged { era: 2 });
     assert_eq!(feed.next_step(now), first_page());
-    let whole = feed.listed(page_at(in_era(2, 20), None));
+    let whole = feed.accept_page(page_at(in_era(2, 20), None));
     let update = whole.expect("one era").expect("one page is all");
     assert_eq!((update.items.len(), update.through), (1, in_era(2, 20)));
 }
@@ -426,14 +428,14 @@
                 continue;
             }
             FeedStep::Watch { .. } => StoreFault::HistoryDropped,
-            FeedStep::List { .. } => match feed.listed(page_at(at(4), None)) {
+            FeedStep::List { .. } => match feed.accept_page(page_at(at(4), None)) {
                 Ok(_update) => panic!("an older list was accepted"),
                 Err(fault) => fault,
             },
         };
         calls += 1;
         now += Duration::from_millis(8);
-        feed.failed(now, &fault);
+        feed.call_failed(now, &fault);
     }
     assert!(calls <= 25, "{calls} calls in 20 s");
 }
@@ -452,9 +454,9 @@
                 now = until;
                 continue;
             }
-            FeedStep::Watch { .. } => feed.failed(now, &StoreFault::HistoryDropped),
+            FeedStep::Watch { .. } => feed.call_failed(now, &StoreFault::HistoryDropped),
             FeedStep::List { .. } => {
-                let update = feed.listed(page_at(at(10), None));
+                let update = feed.accept_page(page_at(at(10), None));
                 assert!(update.is_ok_and(|update| update.is_some()));
             }
         }
--- a/packet/tests/test_syn_deferral.rs
+++ b/packet/tests/test_syn_deferral.rs
@@ -16,7 +16,7 @@
 fn test_only_late_retransmissions_without_a_free_slot_are_deferred() {
     struct Case {
         name: &'static str,
-        copy: u32,
+        transmission: u32,
         target_ms: Option<u64>,
         placed_before: bool,
         requests: u32,
@@ -24,7 +24,7 @@
     }
     let late = Case {
         name: "late retransmission, and no slot is free",
-        copy: 1,
+        transmission: 1,
         target_ms: Some(150),
         placed_before: false,
         requests: 2,
@@ -33,7 +33,7 @@
     let cases = [
         Case {
             name: "a first SYN, regardless of the requests in progress",
-            copy: 0,
+            transmission: 0,
             requests: 50,
             deferred: false,
             ..late
@@ -52,13 +52,13 @@
         },
         Case {
             name: "late only with the last retransmission",
-            copy: 2,
+            transmission: 2,
             target_ms: Some(500),
             ..late
         },
         Case {
             name: "a retransmission that callers do not send",
-            copy: 9,
+            transmission: 9,
             ..late
         },
         Case {
@@ -77,8 +77,8 @@
     ];
     for case in cases {
         let query = SynDeferralQuery {
-            copy: case.copy,
-            target: case.target_ms.map(Duration::from_millis),
+            transmission: case.transmission,
+            objective: case.target_ms.map(Duration::from_millis),
             placed_before: case.placed_before,
             requests: case.requests,
             slots: 2,
@@ -109,7 +109,7 @@
         matches!(
             event,
             DecisionEvent::Deferred {
-                copy: 1,
+                transmission: 1,
                 requests: 2,
                 ..
             }
@@ -121,7 +121,7 @@
         rig.acknowledge(flow, 1, 0);
     }
     rig.packet(&established_head(11, 1, 0, 1, 0));
-    rig.pass(400);
+    rig.advance_time(400);
     assert_eq!(forwarded(&rig.packet(&open_head(10, 2))), [1]);
 }
 
@@ -130,7 +130,7 @@
     // Guards against deferral of a retransmission whose earlier SYN this host has placed.
     let mut rig = busy_rig();
     rig.open(10, 0);
-    rig.pass(200);
+    rig.advance_time(200);
     assert_eq!(forwarded(&rig.packet(&open_head(10, 1))), [1]);
 }
 
--- a/packet/tests/test_upstream_selection.rs
+++ b/packet/tests/test_upstream_selection.rs
@@ -20,7 +20,7 @@
     let mut counts: BTreeMap<u8, u32> = BTreeMap::new();
     for flow in 0..100 {
         *counts.entry(rig.establish(flow)).or_default() += 1;
-        rig.pass(10);
+        rig.advance_time(10);
     }
     assert_eq!(counts.values().copied().collect::<Vec<_>>(), [20; 5]);
 }
@@ -118,7 +118,7 @@
     let remote = [5, 6, 7, 8, 9, 10].map(remote_entry);
     let mut rig = CoreRig::with_entries(local.into_iter().chain(remote).collect());
     let flows: Vec<(u16, u8)> = (0..40).map(|flow| (flow, rig.establish(flow))).collect();
-    rig.pass(1000);
+    rig.advance_time(1000);
     for _attempt in 0..3 {
         for (flow, upstream) in &flows {
             rig.request(*flow, *upstream, 0);
@@ -126,7 +126,7 @@
                 rig.acknowledge(*flow, 4, 0);
             }
         }
-        rig.pass(200);
+        rig.advance_time(200);
     }
     for flow in 100..140 {
         let first = rig.open(flow, 0)[0];
@@ -149,7 +149,7 @@
             "attempt {attempt}"
         );
         used.extend(next);
-        rig.pass(200 + 200 * u64::from(attempt));
+        rig.advance_time(200 + 200 * u64::from(attempt));
     }
 }
 
@@ -247,7 +247,7 @@
     for flow in 0..20 {
         rig.open(flow, 0);
     }
-    rig.pass(3000);
+    rig.advance_time(3000);
     let flows: u32 = rig
         .core
         .upstreams()
--- a/packet/tests/test_warmup_admission.rs
+++ b/packet/tests/test_warmup_admission.rs
@@ -106,11 +106,11 @@
     // Guards against an upstream that fails because selection by load sends it all new flows.
     let mut rig = CoreRig::with_ledger(&[1]);
     rig.publish(|revision| routes_item(revision, limited_routes(2, 6000)));
-    rig.pass(5000);
+    rig.advance_time(5000);
     rig.publish(|revision| upstream_item(revision, entry_in(2, ZONE, WARMUP)));
     let mut cold = 0;
     for flow in 0..100 {
-        rig.pass(20);
+        rig.advance_time(20);
         let used = rig.open(flow, 0);
         assert!(
             used.contains(&1) || used == [2],
@@ -119,7 +119,7 @@
         cold += used.iter().filter(|number| **number == 2).count();
     }
     assert!((3..=5).contains(&cold), "{cold} flows in two seconds");
-    rig.pass(200);
+    rig.advance_time(200);
     assert!((200..210).any(|flow| rig.open(flow, 0).contains(&2)));
 }
 
@@ -128,13 +128,13 @@
     // Guards against callers that wait until their deadlines for a rate limit.
     let mut rig = CoreRig::with_ledger(&[]);
     rig.publish(|revision| routes_item(revision, limited_routes(2, 6000)));
-    rig.pass(5000);
+    rig.advance_time(5000);
     rig.publish(|revision| upstream_item(revision, entry_in(2, ZONE, WARMUP)));
-    rig.pass(100);
+    rig.advance_time(100);
     assert_eq!(rig.open(1, 0), [2]);
     let code = reset_code(&rig.packet(&open_head(2, 0)));
     assert_eq!(code, Some(ResultCode::UpstreamsWarming));
-    rig.pass(600);
+    rig.advance_time(600);
     assert_eq!(rig.open(3, 0), [2]);
 }
 
@@ -145,17 +145,17 @@
     let mut rig = CoreRig::with_ledger(&[1, 2]);
     rig.publish(|revision| routes_item(revision, limited_routes(2, 6000)));
     rig.publish(|revision| upstream_item(revision, entry_in(3, "b", Duration::ZERO)));
-    rig.pass(5000);
+    rig.advance_time(5000);
     rig.publish(|revision| evacuation_item(revision, ZONE));
-    rig.pass(5000);
+    rig.advance_time(5000);
     rig.publish(|revision| restored_item(revision, ZONE));
-    rig.pass(100);
+    rig.advance_time(100);
     let local = (0..40).filter(|flow| rig.open(*flow, 0)[0] != 3).count();
     assert!(
         (1..=2).contains(&local),
         "{local} of 40 flows went to the cold zone"
     );
-    rig.pass(2000);
+    rig.advance_time(2000);
     let local = (50..90).filter(|flow| rig.open(*flow, 0)[0] != 3).count();
     assert_eq!(local, 40, "after the warm-up");
 }
@@ -193,7 +193,7 @@
         publish_upstreams(rig, 1..=30, WARMUP);
         let began = rig.now;
         // A restart under the same name is visible in the registration alone.
-        rig.pass(600);
+        rig.advance_time(600);
         began
     };
     let cases = [
@@ -216,7 +216,7 @@
             bound: 6,
             begin: |rig| {
                 rig.publish(|revision| evacuation_item(revision, "zone-1"));
-                rig.pass(2000);
+                rig.advance_time(2000);
                 rig.publish(|revision| restored_item(revision, "zone-1"));
                 rig.now
             },
@@ -272,7 +272,7 @@
             bound: 6,
             begin: |rig| {
                 rig.isolate((0..rig.hosts.len()).step_by(3));
-                rig.pass(6000);
+                rig.advance_time(6000);
                 publish_upstreams(rig, 31..=60, WARMUP);
                 rig.now
             },
@@ -294,12 +294,12 @@
         rig.publish(|revision| routes_item(revision, limited_routes(2, case.rate)));
         publish_upstreams(&mut rig, 1..=30, Duration::ZERO);
         rig.start_all();
-        rig.pass(12_000);
+        rig.advance_time(12_000);
         let cold_until = (case.begin)(&mut rig) + WARMUP;
         let mut arrivals: BTreeMap<u8, Vec<Instant>> = BTreeMap::new();
         let mut flow = 0;
         while rig.now < cold_until {
-            rig.pass(10);
+            rig.advance_time(10);
             for _flow in 0..15 {
                 flow += 1;
                 let place = usize::from(flow).wrapping_mul(7919) % rig.hosts.len();
--- a/packet/tests/test_zone_evacuation.rs
+++ b/packet/tests/test_zone_evacuation.rs
@@ -45,7 +45,7 @@
     for flow in 1000..1060 {
         for transmission in 0..3 {
             used.extend(rig.open(flow, transmission));
-            rig.pass(200);
+            rig.advance_time(200);
         }
     }
     used.sort_unstable();
@@ -96,9 +96,9 @@
             prepare: |rig| {
                 for flow in 0..20 {
                     rig.open(flow, 0);
-                    rig.pass(210);
+                    rig.advance_time(210);
                     rig.open(flow, 1);
-                    rig.pass(410);
+                    rig.advance_time(410);
                     rig.open(flow, 2);
                 }
             },
@@ -124,7 +124,7 @@
             evacuated: &["a"],
             prepare: |rig| {
                 rig.store_unreachable = true;
-                rig.pass(20_000);
+                rig.advance_time(20_000);
             },
             allowed: &[3, 4, 5, 6],
         },
@@ -158,7 +158,7 @@
     let opened = established_head(2, first_upstreams[0], 0, 1, 0);
     assert_eq!(forwarded(&rig.packet(&opened)), [first_upstreams[0]]);
     for turn in 1..20 {
-        rig.pass(1000);
+        rig.advance_time(1000);
         let upstreams = forwarded(&rig.request(1, upstream, turn));
         rig.acknowledge(1, upstream, turn);
         assert_eq!(upstreams, [upstream], "turn {turn}");
@@ -172,7 +172,7 @@
     let mut rig = three_zones();
     assert!(rig.open(1, 0)[0] <= 2);
     rig.publish(|revision| evacuation_item(revision, ZONE));
-    rig.pass(200);
+    rig.advance_time(200);
     let retransmission = rig.open(1, 1);
     assert!(
         retransmission.iter().all(|number| *number > 2),
@@ -187,7 +187,7 @@
     let mut rig = three_zones();
     let upstream = rig.establish(1);
     rig.publish(|revision| evacuation_item(revision, ZONE));
-    rig.pass(6000);
+    rig.advance_time(6000);
     assert!(rig.open(1, 0).is_empty(), "the SYN");
     assert_eq!(forwarded(&rig.request(1, upstream, 0)), [upstream]);
 }
@@ -271,7 +271,7 @@
     let zones = status.evacuated.iter();
     let counts: Vec<_> = zones.map(|zone| (zone.zone.as_str(), zone.flows)).collect();
     assert_eq!(counts, [(ZONE, 4), ("nowhere", 0)]);
-    rig.pass(20_000);
+    rig.advance_time(20_000);
     let status = PacketStatus::of(&rig.core, rig.now);
     assert_eq!(status.evacuated[0].flows, 0, "idle flows end");
 }
@@ -328,7 +328,7 @@
         seed,
     });
     rig.start_all();
-    rig.pass(8000);
+    rig.advance_time(8000);
     rig
 }
 
@@ -349,8 +349,8 @@
 }
 
 /// Advances time by `millis` with a change of a registration every 200 ms.
-fn pass_with_registrations(rig: &mut FleetRig, millis: u64) {
-    rig.pass_with_changes(millis, 200);
+fn advance_with_registrations(rig: &mut FleetRig, millis: u64) {
+    rig.advance_with_changes(millis, 200);
 }
 
 #[test]
@@ -423,7 +423,7 @@
         let mut rig = settled_fleet(case.hosts_per_zone, 11);
         (case.fail)(&mut rig);
         evacuate(&mut rig, "zone-2");
-        pass_with_registrations(&mut rig, case.bound);
+        advance_with_registrations(&mut rig, case.bound);
         let outdated = outdated_hosts(&rig, "zone-2", true);
         assert!(
             outdated.is_empty(),
@@ -431,7 +431,7 @@
             case.name
         );
         restore(&mut rig, "zone-2");
-        pass_with_registrations(&mut rig, case.bound.max(READER_BOUND_MILLIS));
+        advance_with_registrations(&mut rig, case.bound.max(READER_BOUND_MILLIS));
         let outdated = outdated_hosts(&rig, "zone-2", false);
         assert!(
             outdated.is_empty(),
@@ -448,7 +448,7 @@
     let reader = rig.readers("zone-1")[0];
     rig.freeze(reader, Duration::from_secs(8));
     evacuate(&mut rig, "zone-3");
-    pass_with_registrations(&mut rig, FAILURE_BOUND_MILLIS);
+    advance_with_registrations(&mut rig, FAILURE_BOUND_MILLIS);
     let outdated = outdated_hosts(&rig, "zone-3", true);
     assert_eq!(outdated, [reader], "only the frozen host may be outdated");
 }
@@ -484,7 +484,7 @@
             true => evacuate(&mut rig, zone),
             false => restore(&mut rig, zone),
         }
-        pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
+        advance_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
         for (number, evacuated) in expected.into_iter().enumerate() {
             let name = format!("zone-{}", number + 1);
             let outdated = outdated_hosts(&rig, &name, evacuated);
@@ -499,11 +499,11 @@
     let mut rig = settled_fleet(30, 14);
     for _round in 0..5 {
         evacuate(&mut rig, "zone-1");
-        rig.pass(20);
+        rig.advance_time(20);
         restore(&mut rig, "zone-1");
-        pass_with_registrations(&mut rig, 200);
+        advance_with_registrations(&mut rig, 200);
     }
-    pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
+    advance_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
     let outdated = outdated_hosts(&rig, "zone-1", false);
     assert!(outdated.is_empty(), "{outdated:?} still evacuate it");
 }
@@ -513,14 +513,14 @@
     // Guards against hosts that accept callers' packets before they apply the evacuation.
     let mut rig = settled_fleet(30, 15);
     evacuate(&mut rig, "zone-2");
-    pass_with_registrations(&mut rig, 500);
+    advance_with_registrations(&mut rig, 500);
     for index in 0..rig.hosts.len() {
         rig.kill(index);
     }
-    rig.pass(1000);
+    rig.advance_time(1000);
     rig.start_all();
     for _step in 0..200 {
-        rig.pass(20);
+        rig.advance_time(20);
         let early = (0..rig.hosts.len())
             .filter(|index| rig.hosts[*index].core.is_ready())
             .find(|index| !rig.evacuates(*index, "zone-2"));
@@ -539,12 +539,12 @@
     let members: Vec<HostIndex> = members.collect();
     rig.isolate(members);
     evacuate(&mut rig, "zone-3");
-    pass_with_registrations(&mut rig, READER_BOUND_MILLIS);
+    advance_with_registrations(&mut rig, READER_BOUND_MILLIS);
     let outdated = outdated_hosts(&rig, "zone-3", true);
     assert!(outdated.is_empty(), "{outdated:?} still place flows");
     rig.isolate([]);
     restore(&mut rig, "zone-3");
-    pass_with_registrations(&mut rig, READER_BOUND_MILLIS);
+    advance_with_registrations(&mut rig, READER_BOUND_MILLIS);
     let outdated = outdated_hosts(&rig, "zone-3", false);
     assert!(outdated.is_empty(), "{outdated:?} still evacuate it");
 }
@@ -554,19 +554,19 @@
     // Guards against hosts that were partitioned and spread an evacuation that has ended.
     let mut rig = settled_fleet(30, 17);
     evacuate(&mut rig, "zone-1");
-    pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
+    advance_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
     let isolated: Vec<HostIndex> = (0..5).collect();
     for index in &isolated {
         rig.hosts[*index].served = false;
     }
     rig.isolate(isolated.clone());
     restore(&mut rig, "zone-1");
-    pass_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
+    advance_with_registrations(&mut rig, HEALTHY_BOUND_MILLIS);
     rig.isolate([]);
     for index in &isolated {
         rig.hosts[*index].served = true;
     }
-    pass_with_registrations(&mut rig, READER_BOUND_MILLIS);
+    advance_with_registrations(&mut rig, READER_BOUND_MILLIS);
     let outdated = outdated_hosts(&rig, "zone-1", false);
     assert!(outdated.is_empty(), "{outdated:?} still evacuate it");
 }
@@ -575,18 +575,24 @@
 fn test_whole_state_names_a_known_evacuation() {
     // Guards against a whole state in which an evacuation that the receiver knows, and that is
     // named without its content, counts as changed or unreadable.
-    let mut view = lagoonproxy_packet::state::state_snapshot::StateSnapshot::default();
+    let mut snapshot = lagoonproxy_packet::state::state_snapshot::StateSnapshot::default();
     let items: Vec<PublishedItem> = vec![
         routes_item(1, default_routes(1)),
         evacuation_item(3, "b"),
         upstream_item(4, entry(1, "ledger")),
     ];
-    view.merge(&whole(10, items));
-    let mut behind = view.clone();
+    snapshot.merge(&whole(10, items));
+    let mut behind = snapshot.clone();
     // The snapshot lacks the changes between these lists, so that its update is whole.
-    view.merge(&whole(400, view.update_since(&StateQuery::default()).items));
-    view.merge(&whole(800, view.update_since(&StateQuery::default()).items));
-    let update = view.update_since(&query(10));
+    snapshot.merge(&whole(
+        400,
+        snapshot.update_since(&StateQuery::default()).items,
+    ));
+    snapshot.merge(&whole(
+        800,
+        snapshot.update_since(&StateQuery::default()).items,
+    ));
+    let update = snapshot.update_since(&query(10));
     assert!(update.whole);
     let outcome = behind.merge(&update);
     assert_eq!((outcome.changes.len(), outcome.unreadable), (0, 0));
--- a/packet/tests/test_zone_spill.rs
+++ b/packet/tests/test_zone_spill.rs
@@ -166,7 +166,7 @@
     }
 
     /// Advances time by `millis` with a digest in each tick.
-    fn pass_with_digests(&mut self, millis: u64, entries: &[ZoneLoadEntry]) {
+    fn advance_with_digests(&mut self, millis: u64, entries: &[ZoneLoadEntry]) {
         for _tick in 0..millis / 100 {
             self.now += TICK_INTERVAL;
             self.digest(entries);
@@ -175,7 +175,7 @@
     }
 
     /// Advances time by `millis` without digests.
-    fn pass_without_digests(&mut self, millis: u64) {
+    fn advance_without_digests(&mut self, millis: u64) {
         for _tick in 0..millis / 100 {
             self.now += TICK_INTERVAL;
             self.tick();
@@ -265,7 +265,7 @@
     let mut peers = PeerTable::new(own, zone.into(), Vec::new());
     for (zone, zone_number) in others {
         for (number, capacity) in [(1, 84), (2, 500), (3, 500)] {
-            peers.heard(
+            peers.merge_heartbeat(
                 now,
                 host(*zone_number, number),
                 heartbeat(zone, capacity, true),
@@ -508,7 +508,7 @@
         if let Some(zone) = case.evacuated {
             rig.evacuate(zone);
         }
-        rig.pass_with_digests(6000, &case.zones);
+        rig.advance_with_digests(6000, &case.zones);
         for (zone, (min, max)) in ["b", "c"].into_iter().zip(case.expected) {
             let share = rig.share(zone);
             assert!(
@@ -525,27 +525,27 @@
     // Guards against sudden shifts of many flows by all hosts of a zone.
     let zones = [zone_entry("b", 500), zone_entry("c", 500)];
     let mut rig = SpillRig::new(local_load(1300));
-    rig.pass_with_digests(200, &zones);
+    rig.advance_with_digests(200, &zones);
     assert_eq!(rig.total_share(), 50, "the first step");
     for _step in 0..4 {
         let before = rig.total_share();
-        rig.pass_with_digests(300, &zones);
+        rig.advance_with_digests(300, &zones);
         assert!(
             (1..=50).contains(&(rig.total_share() - before)),
             "{}",
             rig.total_share()
         );
     }
-    rig.pass_with_digests(4000, &zones);
+    rig.advance_with_digests(4000, &zones);
     let full = rig.total_share();
     rig.local = local_load(500);
-    rig.pass_with_digests(300, &zones);
+    rig.advance_with_digests(300, &zones);
     let after = rig.total_share();
     assert!(
         (full * 4 / 5 - 2..=full * 4 / 5).contains(&after),
         "{full}, {after}"
     );
-    rig.pass_with_digests(6000, &zones);
+    rig.advance_with_digests(6000, &zones);
     assert_eq!(rig.total_share(), 0);
 }
 
@@ -580,16 +580,16 @@
                     ..zone_entry("b", 500)
                 };
                 for age in (100..=2000).step_by(100) {
-                    rig.pass_with_digests(100, &[late(age), zone_entry("c", 500)]);
+                    rig.advance_with_digests(100, &[late(age), zone_entry("c", 500)]);
                 }
                 assert!(rig.share("b") > 0, "the last report is still used");
-                rig.pass_with_digests(100, &[late(2100), zone_entry("c", 500)]);
+                rig.advance_with_digests(100, &[late(2100), zone_entry("c", 500)]);
             },
         },
     ];
     for case in cases {
         let mut rig = SpillRig::new(local_load(1300));
-        rig.pass_with_digests(5000, &[zone_entry("b", 500), zone_entry("c", 500)]);
+        rig.advance_with_digests(5000, &[zone_entry("b", 500), zone_entry("c", 500)]);
         assert!(rig.share("b") > 100);
         (case.fail)(&mut rig);
         assert_eq!(rig.share("b"), 0, "{}", case.name);
@@ -605,9 +605,9 @@
         // When the zone is eligible again, its share rises from zero.
         rig.evacuated.clear();
         rig.local.responding = vec!["b".into(), "c".into()];
-        rig.pass_with_digests(300, &remaining());
+        rig.advance_with_digests(300, &remaining());
         let before = rig.total_share();
-        rig.pass_with_digests(300, &[zone_entry("b", 500), zone_entry("c", 500)]);
+        rig.advance_with_digests(300, &[zone_entry("b", 500), zone_entry("c", 500)]);
         assert!(rig.share("b") <= 50, "{}: {}", case.name, rig.share("b"));
         assert!(rig.total_share() <= before + 50, "{}", case.name);
     }
@@ -625,10 +625,10 @@
         ..zone_entry(zone, 0)
     };
     let mut rig = SpillRig::new(local_load(1300));
-    rig.pass_with_digests(6000, &[large("b", 10_000)]);
+    rig.advance_with_digests(6000, &[large("b", 10_000)]);
     assert!(rig.total_share() >= 480);
     for _tick in 0..40 {
-        rig.pass_with_digests(100, &[large("b", 10_000), large("c", 500)]);
+        rig.advance_with_digests(100, &[large("b", 10_000), large("c", 500)]);
         let shares = rig.spill.shares(0).iter();
         let sum: u32 = shares.map(|share| share.share).sum();
         assert!(sum <= FULL_SHARE / 2, "{sum}");
@@ -641,7 +641,7 @@
     // event.
     let zones = [zone_entry("b", 500), zone_entry("c", 500)];
     let mut rig = SpillRig::new(local_load(1300));
-    rig.pass_with_digests(5000, &zones);
+    rig.advance_with_digests(5000, &zones);
     let raised = rig.reported();
     let steps: Vec<u32> = raised
         .iter()
@@ -654,14 +654,14 @@
         "{steps:?}"
     );
     rig.local = local_load(300);
-    rig.pass_with_digests(8000, &zones);
+    rig.advance_with_digests(8000, &zones);
     let last = rig
         .reported()
         .into_iter()
         .rfind(|(zone, _share)| zone == "b");
     assert_eq!(last, Some(("b".into(), 0)));
     let count = rig.reported().len();
-    rig.pass_with_digests(2000, &zones);
+    rig.advance_with_digests(2000, &zones);
     assert_eq!(rig.reported().len(), count, "no event without a change");
 }
 
@@ -674,7 +674,7 @@
         .map(|_host| SpillRig::new(local_load(1300)))
         .collect();
     for rig in &mut hosts {
-        rig.pass_with_digests(6000, &zones);
+        rig.advance_with_digests(6000, &zones);
     }
     let mut random = StdRng::seed_from_u64(7);
     let flows = 120_000;
@@ -722,7 +722,7 @@
             ..local_load(1300)
         });
         rig.spill = ZoneSpill::new(own.into(), config);
-        rig.pass_with_digests(6000, &[zone_entry(other, 1300), zone_entry("c", 400)]);
+        rig.advance_with_digests(6000, &[zone_entry(other, 1300), zone_entry("c", 400)]);
         assert!(rig.share("c") > 0);
         sent += f64::from(rig.share("c")) / 1000.0 * 1.3 * f64::from(SLOTS);
     }
@@ -737,7 +737,7 @@
     // Guards against oscillating shares: spilled requests even out the pressures of the zones,
     // which must not end the spill.
     let mut rig = SpillRig::new(local_load(1300));
-    rig.pass_with_digests(5000, &[zone_entry("b", 500)]);
+    rig.advance_with_digests(5000, &[zone_entry("b", 500)]);
     let share = rig.share("b");
     assert!(share > 170);
     let sent = 25_000;
@@ -746,7 +746,7 @@
     let mut balanced = zone_entry("b", 500);
     balanced.services[0].in_progress += sent;
     balanced.services[0].sent = sent;
-    rig.pass_with_digests(5000, &[balanced]);
+    rig.advance_with_digests(5000, &[balanced]);
     assert_eq!(rig.share("b"), share);
     assert_eq!(rig.spill.demand_pressure(0), 1300);
 }
@@ -802,7 +802,7 @@
     // Guards against queries to hosts that are about to stop, while others could reply.
     let now = Instant::now();
     let mut peers = peers_of(now, host(0, 9), ZONE, &[("b", 1)]);
-    peers.heard(now, host(1, 2), heartbeat("b", 500, false));
+    peers.merge_heartbeat(now, host(1, 2), heartbeat("b", 500, false));
     assert_eq!(peers.largest_remote(now, 2), [host(1, 3), host(1, 1)]);
 }
 
@@ -813,7 +813,7 @@
     exchange_reports(&mut rig, 8, |rig, query| {
         for number in [2, 3] {
             rig.spill
-                .heard(rig.now, host(1, number), &reply_to(query, "b", 500));
+                .handle_report(rig.now, host(1, number), &reply_to(query, "b", 500));
         }
     });
     assert!(rig.share("b") > 100, "{}", rig.share("b"));
@@ -853,10 +853,10 @@
     let query = rig.due_query(&peers);
     rig.now += Duration::from_millis(4);
     rig.spill
-        .heard(rig.now, host(1, 2), &reply_to(&query, "b", 400));
+        .handle_report(rig.now, host(1, 2), &reply_to(&query, "b", 400));
     rig.now += Duration::from_millis(4);
     rig.spill
-        .heard(rig.now, host(1, 3), &reply_to(&query, "b", 600));
+        .handle_report(rig.now, host(1, 3), &reply_to(&query, "b", 600));
     rig.now += Duration::from_millis(100);
     let entries = entries_of(&rig);
     assert_eq!(entries.len(), 1);
@@ -898,7 +898,7 @@
             .collect(),
         ..reply_to(query, "b", 500)
     };
-    rig.spill.heard(rig.now, host(1, 2), &reply);
+    rig.spill.handle_report(rig.now, host(1, 2), &reply);
     let entries = rig.spill.entries(rig.now, &services);
     let count: usize = entries.iter().map(|entry| entry.services.len()).sum();
     assert!((1..=MAX_DIGEST_LOADS).contains(&count), "{count}");
@@ -913,7 +913,7 @@
     for expected in [900, 1300, 1300] {
         exchange_reports(&mut rig, 1, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 3), &reply_to(query, "b", 1300));
+                .handle_report(rig.now, host(1, 3), &reply_to(query, "b", 1300));
         });
         assert_eq!(entries_of(&rig)[0].services[0].pressure, expected);
     }
@@ -942,8 +942,8 @@
         },
     ];
     rig.spill
-        .heard(rig.now, host(1, 2), &reply_to(&query, "b", 500));
-    rig.spill.heard(rig.now, host(2, 2), &reply_of_c);
+        .handle_report(rig.now, host(1, 2), &reply_to(&query, "b", 500));
+    rig.spill.handle_report(rig.now, host(2, 2), &reply_of_c);
     let entries = entries_of(&rig);
     let counts = entries
         .iter()
@@ -997,14 +997,14 @@
         exchange_reports(&mut rig, case.rounds, |rig, query| {
             for number in case.replies {
                 rig.spill
-                    .heard(rig.now, host(1, *number), &reply_to(query, "b", 500));
+                    .handle_report(rig.now, host(1, *number), &reply_to(query, "b", 500));
             }
         });
         let expected = if case.keeps_share { before } else { 0 };
         assert_eq!(rig.share("b"), expected, "{}", case.name);
         exchange_reports(&mut rig, 8, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 2), &reply_to(query, "b", 500));
+                .handle_report(rig.now, host(1, 2), &reply_to(query, "b", 500));
         });
         assert_eq!(
             rig.share("b"),
@@ -1030,9 +1030,9 @@
             name: "in order",
             deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&queries[0], "b", 400));
+                    .handle_report(rig.now, host(1, 2), &reply_to(&queries[0], "b", 400));
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
+                    .handle_report(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
             },
             expected: Some((600, 0)),
         },
@@ -1040,9 +1040,9 @@
             name: "out of order",
             deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
+                    .handle_report(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&queries[0], "b", 400));
+                    .handle_report(rig.now, host(1, 2), &reply_to(&queries[0], "b", 400));
             },
             expected: Some((600, 0)),
         },
@@ -1050,9 +1050,9 @@
             name: "duplicated",
             deliver: |rig, queries| {
                 let reply = reply_to(&queries[1], "b", 600);
-                rig.spill.heard(rig.now, host(1, 2), &reply);
+                rig.spill.handle_report(rig.now, host(1, 2), &reply);
                 rig.now += Duration::from_millis(300);
-                rig.spill.heard(rig.now, host(1, 2), &reply);
+                rig.spill.handle_report(rig.now, host(1, 2), &reply);
             },
             expected: Some((600, 300)),
         },
@@ -1061,7 +1061,7 @@
             deliver: |rig, queries| {
                 rig.now += Duration::from_millis(2100);
                 rig.spill
-                    .heard(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
+                    .handle_report(rig.now, host(1, 2), &reply_to(&queries[1], "b", 600));
             },
             expected: None,
         },
@@ -1072,7 +1072,7 @@
                     sequence: queries[1].sequence + 1,
                     ..reply_to(&queries[1], "b", 600)
                 };
-                rig.spill.heard(rig.now, host(1, 2), &unmatched);
+                rig.spill.handle_report(rig.now, host(1, 2), &unmatched);
             },
             expected: None,
         },
@@ -1080,7 +1080,7 @@
             name: "from the own zone",
             deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(0, 2), &reply_to(&queries[1], ZONE, 600));
+                    .handle_report(rig.now, host(0, 2), &reply_to(&queries[1], ZONE, 600));
             },
             expected: None,
         },
@@ -1088,7 +1088,7 @@
             name: "from a zone without a name",
             deliver: |rig, queries| {
                 rig.spill
-                    .heard(rig.now, host(0, 2), &reply_to(&queries[1], "", 600));
+                    .handle_report(rig.now, host(0, 2), &reply_to(&queries[1], "", 600));
             },
             expected: None,
         },
@@ -1122,12 +1122,12 @@
     };
     assert!(
         rig.spill
-            .heard(rig.now, host(1, 7), &remote_query(900, 600))
+            .handle_report(rig.now, host(1, 7), &remote_query(900, 600))
     );
     for sequence in 1..=25 {
         rig.now += TICK_INTERVAL;
         rig.spill
-            .heard(rig.now, host(1, 7), &remote_query(sequence, 700));
+            .handle_report(rig.now, host(1, 7), &remote_query(sequence, 700));
         rig.tick();
     }
     assert_eq!(entries_of(&rig)[0].services[0].pressure, 700);
@@ -1143,7 +1143,7 @@
     for _tick in 0..40 {
         exchange_reports(&mut previous, 1, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 2), &reply_to(query, "b", 500));
+                .handle_report(rig.now, host(1, 2), &reply_to(query, "b", 500));
         });
         next.now = previous.now;
         next.digest(&entries_of(&previous));
@@ -1157,16 +1157,16 @@
     );
     let age = entries_of(&previous)[0].age;
     next.is_aggregator = true;
-    next.pass_without_digests(1000);
+    next.advance_without_digests(1000);
     assert_eq!(next.share("b"), share);
     assert_eq!(entries_of(&next)[0].age, age + Duration::from_secs(1));
     let peers = peers_of(next.now, host(0, 9), ZONE, &[("b", 1)]);
     let query = next.due_query(&peers);
     next.spill
-        .heard(next.now, host(1, 3), &reply_to(&query, "b", 500));
-    next.pass_without_digests(1900);
+        .handle_report(next.now, host(1, 3), &reply_to(&query, "b", 500));
+    next.advance_without_digests(1900);
     assert_eq!(next.share("b"), share, "replies to its own queries");
-    next.pass_without_digests(300);
+    next.advance_without_digests(300);
     assert_eq!(next.share("b"), 0, "no reply for two seconds");
 }
 
@@ -1180,7 +1180,7 @@
     for round in 0..6 {
         exchange_reports(&mut connected, 1, |rig, query| {
             rig.spill
-                .heard(rig.now, host(1, 2), &reply_to(query, "b", 500));
+                .handle_report(rig.now, host(1, 2), &reply_to(query, "b", 500));
         });
         exchange_reports(&mut disconnected, 1, |_rig, _query| {});
         assert_eq!(connected.share("b"), share, "round {round}");
@@ -1207,7 +1207,7 @@
     assert!(share > 100);
     rig.spill
         .handle_digest(rig.now, more_reporters, 12, 6, &entries(1300));
-    rig.pass_without_digests(500);
+    rig.advance_without_digests(500);
     assert_eq!(rig.share("b"), share, "an older digest is ignored");
     for sequence in 40..100 {
         rig.now += TICK_INTERVAL;
@@ -1226,10 +1226,10 @@
 fn test_reset_after_a_stall_ends_spill() {
     // Guards against spilling after a stall by shares from before it.
     let mut rig = SpillRig::new(local_load(1300));
-    rig.pass_with_digests(5000, &[zone_entry("b", 500)]);
+    rig.advance_with_digests(5000, &[zone_entry("b", 500)]);
     rig.spill.reset();
     assert_eq!(rig.total_share(), 0);
-    rig.pass_without_digests(1000);
+    rig.advance_without_digests(1000);
     assert_eq!(rig.total_share(), 0);
 }
 
@@ -1302,7 +1302,7 @@
             ..reply_to(&query, "b", 500)
         };
         (case.change)(&mut report);
-        let is_replied_to = rig.spill.heard(rig.now, host(1, 2), &report);
+        let is_replied_to = rig.spill.handle_report(rig.now, host(1, 2), &report);
         rig.tick();
         assert_eq!(is_replied_to, case.valid, "{}", case.name);
         assert_eq!(!entries_of(&rig).is_empty(), case.valid, "{}", case.name);
@@ -1368,7 +1368,7 @@
 fn test_uncontended_core_sends_no_queries_and_reports_invalid_counts() {
     let mut rig = CoreRig::with_ledger(&[1, 2, 3]);
     rig.core
-        .heard(rig.now, host(1, 2), heartbeat("b", 500, true), false);
+        .handle_heartbeat(rig.now, host(1, 2), heartbeat("b", 500, true), false);
     let mut absurd = ZoneLoadReport {
         zone: "b".into(),
         sequence: 1,
@@ -1388,7 +1388,7 @@
     rig.events.clear();
     for flow in 0..50 {
         rig.open(flow, 0);
-        rig.pass(100);
+        rig.advance_time(100);
         assert_eq!(rig.core.due_load_datagrams(rig.now), []);
     }
     assert!(rig.core.spill().shares(0).is_empty());
@@ -1611,7 +1611,7 @@
         for (report, from, millis) in reports {
             rig.now += Duration::from_millis(millis);
             rig.due_datagrams(&peers);
-            rig.spill.heard(rig.now, host(1, from % 8), &report);
+            rig.spill.handle_report(rig.now, host(1, from % 8), &report);
             rig.tick();
             let entries = entries_of(&rig);
             prop_assert!(entries.len() <= MAX_DIGEST_LOADS);
@@ -1628,7 +1628,7 @@
         datagram.extend(bytes);
         if let Ok(PeerDatagram::ZoneLoad(report)) = PeerDatagram::decode(&datagram) {
             let mut rig = SpillRig::new(local_load(1300));
-            rig.spill.heard(rig.now, host(1, 2), &report);
+            rig.spill.handle_report(rig.now, host(1, 2), &report);
             rig.tick();
         }
     }
--- a/packet/tests/test_zone_waves.rs
+++ b/packet/tests/test_zone_waves.rs
@@ -206,7 +206,7 @@
                 evacuated: &evacuated,
             };
             for other in (0..ZONES).filter(|other| *other != zone_index) {
-                zones[zone_index].peers.heard(
+                zones[zone_index].peers.merge_heartbeat(
                     now,
                     address(other),
                     heartbeat(&zone_name(other), 500, true),
@@ -221,16 +221,16 @@
                 for other in (0..ZONES).filter(|other| addressed.targets.contains(&address(*other)))
                 {
                     let arrived = now + Duration::from_millis(4);
-                    assert!(
-                        zones[other]
-                            .spill
-                            .heard(arrived, address(zone_index), &report)
-                    );
-                    let reply = zones[other].spill.reply(&report, &loads[other..=other]);
+                    assert!(zones[other].spill.handle_report(
+                        arrived,
+                        address(zone_index),
+                        &report
+                    ));
+                    let reply = zones[other].spill.reply_to(&report, &loads[other..=other]);
                     let replied = arrived + Duration::from_millis(4);
                     zones[zone_index]
                         .spill
-                        .heard(replied, address(other), &reply);
+                        .handle_report(replied, address(other), &reply);
                 }
             }
             if seconds >= plan.period {
--- a/packetd/src/event_log.rs
+++ b/packetd/src/event_log.rs
@@ -23,7 +23,7 @@
         DecisionEvent::Placed {
             caller,
             service,
-            copy,
+            transmission,
             upstream,
             zone,
             flows,
@@ -40,37 +40,37 @@
                 metrics.dispatched.inc();
             }
             let heard_ms = millis(*heard_ago);
-            log::info!(caller:% = caller, service:% = service, copy, upstream:% = upstream, zone:% = zone, flows, heard_ms, hedged, dispatched, version; "flow placed");
+            log::info!(caller:% = caller, service:% = service, copy = transmission, upstream:% = upstream, zone:% = zone, flows, heard_ms, hedged, dispatched, version; "flow placed");
         }
         DecisionEvent::Deferred {
             caller,
             service,
-            copy,
+            transmission,
             upstream,
             requests,
             version,
         } => {
             metrics.deferred.inc();
-            log::info!(caller:% = caller, service:% = service, copy, upstream:% = upstream, requests, version; "flow deferred");
+            log::info!(caller:% = caller, service:% = service, copy = transmission, upstream:% = upstream, requests, version; "flow deferred");
         }
         DecisionEvent::ClassLimited {
             caller,
             service,
             service_name,
-            copy,
+            transmission,
             class,
             code,
             deferred,
             upstream,
             in_progress,
-            room,
+            contention,
             age,
             version,
         } => {
             let code = code.number();
-            let (priority, rank, pressure) = (class.priority.0, class.rank, room.pressure);
+            let (priority, rank, pressure) = (class.priority.0, class.rank, contention.pressure);
             let age_ms = millis(*age);
-            log::info!(caller:% = caller, service:% = service, service_name:% = service_name, copy, priority, rank, code, deferred, upstream:% = upstream, in_progress, pressure, age_ms, version; "flow limited by class");
+            log::info!(caller:% = caller, service:% = service, service_name:% = service_name, copy = transmission, priority, rank, code, deferred, upstream:% = upstream, in_progress, pressure, age_ms, version; "flow limited by class");
         }
         DecisionEvent::Contention {
             service,
@@ -110,7 +110,7 @@
             log::info!(request, caller:% = caller, service:% = service, code, upstream, version; "flow refused");
         }
         DecisionEvent::Answered { took } => metrics.answer_seconds.observe(took.as_secs_f64()),
-        DecisionEvent::Repeated {
+        DecisionEvent::Retransmitted {
             caller,
             service,
             upstream,
@@ -128,7 +128,7 @@
             zone,
             change,
             attempts,
-            answers,
+            outcomes,
             heard_ago,
             through,
         } => {
@@ -138,7 +138,7 @@
                 _ => 0,
             };
             let heard_ms = millis(*heard_ago);
-            let (served, failed) = (answers.served, answers.failed);
+            let (served, failed) = (outcomes.served, outcomes.failed);
             log::info!(upstream:% = upstream, zone:% = zone, change:? = change, attempts, served, failed, heard_ms, through:%; "upstream");
         }
         DecisionEvent::Role {
--- a/packetd/src/host_metrics.rs
+++ b/packetd/src/host_metrics.rs
@@ -222,14 +222,14 @@
 
     /// Sets the gauges to the state of the core, and returns all metrics as text.
     pub fn text(&self, core: &PacketCore, now: Instant) -> String {
-        let routes = core.view().routes();
+        let routes = core.snapshot().routes();
         self.routes_version
             .set(routes.map_or(0, |routes| routes.version));
-        let through = core.view().through();
+        let through = core.snapshot().through();
         self.store_era.set(through.era);
         self.through.set(through.revision);
         self.reads.set(u64::from(core.reads()));
-        self.peers.set(core.peers().alive_hosts(now) as u64);
+        self.peers.set(core.peers().live_hosts(now) as u64);
         self.flows.set(core.flow_tracker().open_flows() as u64);
         let upstreams = core.upstreams();
         let flows = upstreams.evacuated_flows();
--- a/packetd/src/host_state.rs
+++ b/packetd/src/host_state.rs
@@ -45,7 +45,7 @@
     /// Notified when there are dispatch messages to send.
     pub dispatch_due: Notify,
     /// Notified when state may be requested from a peer: a host without state has found a peer, or
-    /// a former request has ended.
+    /// a previous request has ended.
     pub state_request_due: Notify,
 }
 
@@ -89,7 +89,7 @@
     /// Merges an update, and forwards it to the hosts of the zone if it was new. Returns whether it
     /// was.
     pub fn merge_and_forward(&self, update: StateUpdate) -> bool {
-        let before = self.core.borrow().view().query();
+        let before = self.core.borrow().snapshot().query();
         let is_new = self.merge(&update);
         if is_new {
             let update = self.core.borrow().forwarded_update(update, &before);
@@ -107,7 +107,7 @@
         let is_new = core.merge(Instant::now(), update, &mut output);
         log_events(&output.events, None, &self.metrics);
         if !was_ready && core.is_ready() {
-            log::info!(through:% = core.view().through(); "ready");
+            log::info!(through:% = core.snapshot().through(); "ready");
             self.became_ready.notify_waiters();
         }
         is_new
--- a/packetd/src/packet_socket.rs
+++ b/packetd/src/packet_socket.rs
@@ -92,7 +92,7 @@
     output.clear();
     match is_resumed {
         true => state.core.borrow_mut().resume_packet(now, &head, output),
-        false => state.core.borrow_mut().packet(now, &head, output),
+        false => state.core.borrow_mut().handle_packet(now, &head, output),
     }
     for action in &output.actions {
         execute_action(state, socket, &head, datagram, action);
--- a/packetd/src/parked_packets.rs
+++ b/packetd/src/parked_packets.rs
@@ -26,7 +26,7 @@
 pub struct ParkedPackets {
     packets: RefCell<VecDeque<ParkedPacket>>,
     /// Notified when the first packet may have changed.
-    changed: Notify,
+    front_changed: Notify,
 }
 
 impl ParkedPackets {
@@ -41,20 +41,20 @@
         let index = packets.partition_point(|other| other.due_at <= packet.due_at);
         packets.insert(index, packet);
         if index == 0 {
-            self.changed.notify_one();
+            self.front_changed.notify_one();
         }
     }
 
     /// Reschedules the parked packet of a flow: at once if a reply has arrived, later if the
     /// dispatcher needs more time. Does nothing if no packet of the flow is parked.
-    pub fn postpone(&self, key: FlowKey, due_at: Instant) {
+    pub fn reschedule(&self, key: FlowKey, due_at: Instant) {
         let mut packets = self.packets.borrow_mut();
         let index = packets.iter().position(|packet| packet.key == key);
         if let Some(mut packet) = index.and_then(|index| packets.remove(index)) {
             packet.due_at = due_at;
             let index = packets.partition_point(|other| other.due_at < due_at);
             packets.insert(index, packet);
-            self.changed.notify_one();
+            self.front_changed.notify_one();
         }
     }
 
@@ -77,7 +77,7 @@
             };
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
-                () = self.changed.notified() => {}
+                () = self.front_changed.notified() => {}
             }
         }
     }
--- a/packetd/src/peer_socket.rs
+++ b/packetd/src/peer_socket.rs
@@ -116,7 +116,7 @@
             let due = core.handle_reply(Instant::now(), source, reply);
             drop(core);
             if let Some((key, due_at)) = due {
-                state.parked.postpone(key, due_at);
+                state.parked.reschedule(key, due_at);
             }
         }
         Err(fault) => {
@@ -138,8 +138,8 @@
     let (zone, through) = (heartbeat.zone.clone(), heartbeat.through);
     let stopping = state.stopping.get();
     let mut core = state.core.borrow_mut();
-    let replies = core.heard(Instant::now(), source, heartbeat, stopping);
-    let lacks_state = core.view().through().is_unread();
+    let replies = core.handle_heartbeat(Instant::now(), source, heartbeat, stopping);
+    let lacks_state = core.snapshot().through().is_unread();
     drop(core);
     if replies.is_new {
         log::info!(peer:% = source, zone:%, through:%; "peer heard");
@@ -155,7 +155,10 @@
 async fn update_peers(state: Rc<HostState>, socket: Rc<UdpSocket>) {
     loop {
         let now = Instant::now();
-        let heartbeats = state.core.borrow_mut().round(now, state.stopping.get());
+        let heartbeats = state
+            .core
+            .borrow_mut()
+            .due_heartbeats(now, state.stopping.get());
         send_heartbeats(&state, &socket, heartbeats);
         let due = state.core.borrow_mut().due_failure_reports(now);
         if let Some((reports, targets)) = due {
@@ -188,7 +191,7 @@
     if state.state_requested.get() {
         return;
     }
-    let Some(source) = state.core.borrow_mut().source(now) else {
+    let Some(source) = state.core.borrow_mut().state_source(now) else {
         return;
     };
     let state = state.clone();
--- a/packetd/src/settings_file.rs
+++ b/packetd/src/settings_file.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the settings if the content of the file has changed since it was last read. Invalid
-    /// content is logged once, and the former settings stay in force.
+    /// content is logged once, and the previous settings stay in force.
     pub fn read_if_changed(&mut self) -> Option<HostSettings> {
         let text = match std::fs::read(&self.path) {
             Ok(text) => text,
--- a/packetd/src/state_transfer.rs
+++ b/packetd/src/state_transfer.rs
@@ -132,7 +132,7 @@
 /// Queries a peer for the state that this host is missing, merges it, and forwards it to the hosts
 /// of the zone.
 pub async fn request_state(state: Rc<HostState>, peer: SocketAddrV4) {
-    let query = state.core.borrow().view().query();
+    let query = state.core.borrow().snapshot().query();
     let started = Instant::now();
     let reply = match timeout(EXCHANGE_TIMEOUT, query_peer(peer, &query)).await {
         Ok(reply) => reply,
@@ -198,7 +198,7 @@
     let reply = if busy {
         StateReply::Busy
     } else {
-        let update = state.core.borrow().view().update_since(&query);
+        let update = state.core.borrow().snapshot().update_since(&query);
         StateReply::State(encode_state(&update).context(StateSnafu)?)
     };
     send(&mut socket, &reply).await?;
--- a/packetd/src/store_reader.rs
+++ b/packetd/src/store_reader.rs
@@ -6,8 +6,8 @@
 use lagoonproxy::result_code::ResultCode;
 use lagoonproxy_packet::state::start_plan::StartPlan;
 use lagoonproxy_packet::state::state_snapshot::StateUpdate;
-use lagoonproxy_packet::state::store_feed::ANSWER_TIMEOUT;
 use lagoonproxy_packet::state::store_feed::FeedStep;
+use lagoonproxy_packet::state::store_feed::RESPONSE_TIMEOUT;
 use lagoonproxy_packet::state::store_feed::StoreFault;
 use lagoonproxy_platform::store_client::ProgressCheck;
 use lagoonproxy_platform::store_client::StoreClient;
@@ -36,7 +36,7 @@
                     progress_check_after,
                     should_abandon: StartPlan::is_list_too_slow,
                 });
-                let page = client.list(after.as_deref(), ANSWER_TIMEOUT, check).await;
+                let page = client.list(after.as_deref(), RESPONSE_TIMEOUT, check).await;
                 let update = page.and_then(|page| {
                     let mut core = state.core.borrow_mut();
                     core.store_listed(Instant::now(), page)
@@ -44,7 +44,7 @@
                 apply_result(&state, update);
             }
             FeedStep::Watch { after, wait } => {
-                let batch = client.watch(after.revision, wait, ANSWER_TIMEOUT).await;
+                let batch = client.watch(after.revision, wait, RESPONSE_TIMEOUT).await;
                 let update = batch.and_then(|batch| {
                     let mut core = state.core.borrow_mut();
                     core.store_changed(Instant::now(), batch).map(Some)
--- a/packetd/tests/test_dispatch_processes.rs
+++ b/packetd/tests/test_dispatch_processes.rs
@@ -9,10 +9,10 @@
 use lagoonproxy::flow_hash::rendezvous_weight;
 use lagoonproxy_packet::load::load_report::service_tag;
 use lagoonproxy_packet::state::state_source::address_key;
-use lagoonproxy_standin::packet_caller::CallFault;
+use lagoonproxy_standin::packet_caller::CallError;
 use lagoonproxy_standin::packet_caller::CallerFlow;
 use lagoonproxy_standin::packet_caller::PacketCaller;
-use lagoonproxy_standin::packet_cell::*;
+use lagoonproxy_standin::packet_cluster::*;
 
 use crate::program;
 
@@ -36,7 +36,7 @@
     faults: AtomicU64,
 }
 
-async fn open(caller: &mut PacketCaller) -> Result<CallerFlow, CallFault> {
+async fn open(caller: &mut PacketCaller) -> Result<CallerFlow, CallError> {
     let mut opened = caller.open(ledger()).await;
     for _retry in 1..MAX_OPEN_ATTEMPTS {
         if opened.is_err() {
@@ -63,7 +63,7 @@
             tally.faults.fetch_add(1, Ordering::Relaxed);
             return;
         };
-        let answer = caller.request(&mut flow, b"one", REQUEST_LIMIT).await;
+        let answer = caller.request(&mut flow, b"one", REQUEST_TIMEOUT).await;
         if answer.is_err() {
             tally.faults.fetch_add(1, Ordering::Relaxed);
             return;
@@ -94,10 +94,10 @@
                 .iter()
                 .map(|tally| tally.faults.load(Ordering::Relaxed));
             assert_eq!(faults.sum::<u64>(), 0, "{tallies:?}");
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let ended = tokio::time::timeout(HANG_LIMIT, wait).await;
+    let ended = tokio::time::timeout(HANG_TIMEOUT, wait).await;
     assert!(
         ended.is_ok(),
         "some callers are no longer served: {tallies:?}"
@@ -109,19 +109,19 @@
     // Guards against requests that are not served, and flows that break, when the dispatcher of the
     // service is killed.
     const CONTENDED: &str = "lagoon_packet_service_contended{service=\"ledger\"}";
-    let mut cell = PacketCell::ready(program(), 3, 2).await;
-    for upstream in &cell.upstreams {
-        upstream.set_answer_delay(ANSWER_DELAY);
+    let mut cluster = PacketCluster::ready(program(), 3, 2).await;
+    for upstream in &cluster.upstreams {
+        upstream.set_response_delay(ANSWER_DELAY);
     }
     let stop = Arc::new(AtomicBool::new(false));
     let (mut tallies, mut tasks) = (Vec::new(), Vec::new());
     for number in 0..LONG_FLOW_CALLERS + SHORT_FLOW_CALLERS {
-        let (caller, tally) = (cell.caller().await, Arc::new(CallerTally::default()));
+        let (caller, tally) = (cluster.caller().await, Arc::new(CallerTally::default()));
         tallies.push(tally.clone());
         let run = run_caller(caller, number < LONG_FLOW_CALLERS, tally, stop.clone());
         tasks.push(tokio::spawn(run));
     }
-    for host in &cell.hosts {
+    for host in &cluster.hosts {
         host.wait_for_metric(CONTENDED, |contended| contended == 1.0)
             .await;
     }
@@ -129,15 +129,15 @@
     // All hosts have the same capacity, so that only the hash determines the dispatcher.
     let tag = u64::from(service_tag(&"ledger".into()));
     let weight = |place: &usize| {
-        let address = cell.peer_address(*place as u8 + 1);
+        let address = cluster.peer_address(*place as u8 + 1);
         rendezvous_weight(tag, address_key(address))
     };
-    let dispatcher = (0..cell.hosts.len()).max_by_key(weight).expect("a host");
-    cell.hosts[dispatcher].kill().await;
+    let dispatcher = (0..cluster.hosts.len()).max_by_key(weight).expect("a host");
+    cluster.hosts[dispatcher].kill().await;
     wait_for_service(&tallies).await;
-    cell.wait_for_rotation(2).await;
+    cluster.wait_for_rotation(2).await;
     wait_for_service(&tallies).await;
-    for (_place, host) in cell
+    for (_place, host) in cluster
         .hosts
         .iter()
         .enumerate()
--- a/packetd/tests/test_service_metrics.rs
+++ b/packetd/tests/test_service_metrics.rs
@@ -7,8 +7,8 @@
 use lagoonproxy_packet::packet_status::ServiceStatus;
 use lagoonproxy_packet::routes::route_config::RequestPriority;
 use lagoonproxy_packet::routes::route_table::RequestClass;
-use lagoonproxy_standin::packet_cell::PacketCell;
-use lagoonproxy_standin::packet_cell::ledger;
+use lagoonproxy_standin::packet_cluster::PacketCluster;
+use lagoonproxy_standin::packet_cluster::ledger;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
 
@@ -31,7 +31,7 @@
         caller: ledger(),
         service: ledger(),
         service_name: service_name.into(),
-        copy: 0,
+        transmission: 0,
         class: RequestClass {
             rank,
             classes: 4,
@@ -41,7 +41,7 @@
         deferred,
         upstream: "i-1".into(),
         in_progress: 0,
-        room: ContentionState::default(),
+        contention: ContentionState::default(),
         age: None,
         version: 1,
     }
@@ -116,18 +116,18 @@
 #[tokio::test]
 async fn test_status_and_metrics_list_routed_services() {
     // Guards against gauges that are registered and never set.
-    let cell = PacketCell::ready(program(), 1, 1).await;
+    let cluster = PacketCluster::ready(program(), 1, 1).await;
     let calm = "lagoon_packet_service_contended{service=\"ledger\"} 0";
-    cell.hosts[0]
+    cluster.hosts[0]
         .wait_for_metric("lagoon_packet_routes_version", |version| version > 0.0)
         .await;
-    let text = cell.hosts[0].page("/metrics").await;
+    let text = cluster.hosts[0].page("/metrics").await;
     assert!(text.contains(calm), "{text}");
     assert!(
         !text.contains("lagoon_packet_class_"),
         "no flow was limited: {text}"
     );
-    let text = cell.hosts[0].page("/v1/status").await;
+    let text = cluster.hosts[0].page("/v1/status").await;
     let status: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(status["services"][0]["contended"], false, "{text}");
 }
@@ -135,22 +135,22 @@
 #[tokio::test]
 async fn test_invalid_fields_reach_the_metrics_of_every_host() {
     // Guards against invalid fields that are counted only on the host that reads the store.
-    let cell = PacketCell::ready(program(), 2, 1).await;
-    let before: Vec<f64> = invalid_fields(&cell).await;
+    let cluster = PacketCluster::ready(program(), 2, 1).await;
+    let before: Vec<f64> = invalid_fields(&cluster).await;
     let config = br#"{"Version":9,"Routes":[{"Name":"r","Hostname":"198.18.0.1","Prefix":"/443/","RouteType":"safe","TimeoutMs":1500,"Priority":-1,"Service":"ledger"}],"Services":[{"Name":"ledger","MaxConnections":0}],"Limits":{"IdleTimeoutMs":15000}}"#;
-    cell.store.put_bytes("op/config", config);
-    for host in &cell.hosts {
+    cluster.store.put_bytes("op/config", config);
+    for host in &cluster.hosts {
         host.wait_for_metric("lagoon_packet_routes_version", |version| version == 9.0)
             .await;
     }
-    let counted: Vec<f64> = invalid_fields(&cell).await;
+    let counted: Vec<f64> = invalid_fields(&cluster).await;
     let new: Vec<f64> = counted
         .iter()
         .zip(before)
         .map(|(now, then)| now - then)
         .collect();
     assert_eq!(new, [2.0, 2.0]);
-    let text = cell.hosts[1].page("/v1/status").await;
+    let text = cluster.hosts[1].page("/v1/status").await;
     let status: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     let route = &status["routes"][0];
     assert_eq!(
@@ -159,9 +159,9 @@
     );
 }
 
-async fn invalid_fields(cell: &PacketCell) -> Vec<f64> {
+async fn invalid_fields(cluster: &PacketCluster) -> Vec<f64> {
     let mut counts = Vec::new();
-    for host in &cell.hosts {
+    for host in &cluster.hosts {
         counts.push(host.metric("lagoon_packet_invalid_fields_total").await);
     }
     counts
--- a/packetd/tests/test_state_faults.rs
+++ b/packetd/tests/test_state_faults.rs
@@ -5,7 +5,7 @@
 use lagoonproxy_packet::peers::peer_datagram::encode_state;
 use lagoonproxy_packet::state::state_snapshot::StateUpdate;
 use lagoonproxy_packet::state::store_position::StorePosition;
-use lagoonproxy_standin::packet_cell::*;
+use lagoonproxy_standin::packet_cluster::*;
 
 use crate::faulty_peer::FaultyPeer;
 use crate::faulty_peer::FaultyReply;
@@ -92,16 +92,16 @@
         },
     ];
     for case in cases {
-        let mut cell = PacketCell::ready(program(), 1, 1).await;
-        let before = cell.hosts[0].metric("lagoon_packet_through").await;
-        let target = cell.peer_address(1);
-        let _peer = FaultyPeer::start(cell.peer_address(9), target, 9_000, case.reply).await;
+        let mut cluster = PacketCluster::ready(program(), 1, 1).await;
+        let before = cluster.hosts[0].metric("lagoon_packet_through").await;
+        let target = cluster.peer_address(1);
+        let _peer = FaultyPeer::start(cluster.peer_address(9), target, 9_000, case.reply).await;
         let counted = format!("lagoon_packet_results_total{{code=\"{}\"", case.code);
-        cell.hosts[0]
+        cluster.hosts[0]
             .wait_for_metric(&counted, |count| count >= 1.0)
             .await;
-        let after = cell.hosts[0].metric("lagoon_packet_through").await;
+        let after = cluster.hosts[0].metric("lagoon_packet_through").await;
         assert!((before - after).abs() < 0.5, "{}", case.name);
-        cell.serve_one().await;
+        cluster.serve_one().await;
     }
 }
--- a/standin/src/answer_content.rs
+++ b/standin/src/answer_content.rs
@@ -1,4 +1,5 @@
-//! Payloads and answers whose content shows whom an answer was for and whether it is whole.
+//! Generates request payloads and answers whose content identifies the request and shows whether
+//! the answer is whole.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,50 +18,51 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// First bytes of a payload that states what it asks of the upstream.
+/// First bytes of a payload that carries a [`PayloadSpec`].
 const PAYLOAD_MAGIC: &[u8; 4] = b"JOB1";
-/// Bytes of magic, length of answer and work.
+/// Length in bytes of the payload's header: magic, answer length and work.
 const PAYLOAD_HEADER: usize = 12;
-/// Longest answer in bytes that an upstream gives.
+/// Maximum length of an answer in bytes.
 const MAX_ANSWER: u32 = 1 << 20;
 
-/// What a payload asks of an upstream.
+/// What a payload asks of the upstream that receives it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct JobOrder {
-    /// Bytes that the answer shall have, at least those of its first line.
+pub struct PayloadSpec {
+    /// Length of the answer in bytes; the answer is never shorter than its header line.
     pub answer_len: u32,
-    /// Work beyond the upstream's own service time.
+    /// Processing time that is added to the upstream's own service time.
     pub work: Duration,
 }
 
-/// Whose answer it is.
+/// Identifies a request, and the answer to it, across all callers and services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct AnswerIdentity {
-    /// The service that ran it.
+pub struct RequestIdentity {
+    /// The service that runs the request.
     pub service: ServiceAddress,
-    /// The caller it is for.
+    /// The address of the caller.
     pub caller: SocketAddr,
-    /// The flow.
+    /// The flow, unique to the caller and service.
     pub flow: FlowId,
-    /// The request.
+    /// The request, unique to the flow.
     pub request: RequestId,
 }
 
-/// What is wrong with an answer, if anything.
+/// The result of comparing a received answer with the expected one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerVerdict {
-    /// Every byte is as expected.
+pub enum AnswerIntegrity {
+    /// Every byte matches.
     Whole,
-    /// It is a beginning of what was expected.
+    /// The answer is a proper prefix of the expected one.
     Truncated,
-    /// It answers something else, or mixes answers.
+    /// The answer belongs to another request, or mixes several answers.
     Foreign,
 }
 
-impl JobOrder {
-    /// A payload that states the order, with `filler` further bytes.
-    pub fn payload(self, filler: usize) -> Bytes {
-        let len = (PAYLOAD_HEADER + filler).min(MAX_PAYLOAD);
+impl PayloadSpec {
+    /// Encodes the spec into a payload, followed by `padding` bytes; the payload is limited to
+    /// [`MAX_PAYLOAD`] bytes.
+    pub fn payload(self, padding: usize) -> Bytes {
+        let len = (PAYLOAD_HEADER + padding).min(MAX_PAYLOAD);
         let mut payload = BytesMut::with_capacity(len);
         payload.put_slice(PAYLOAD_MAGIC);
         payload.put_u32_le(self.answer_len);
@@ -69,15 +71,15 @@
         payload.freeze()
     }
 
-    /// What a payload states; nothing of a payload of another form.
-    pub fn of_payload(payload: &[u8]) -> Self {
+    /// Decodes the spec of a payload; returns the default for a payload without the header.
+    pub fn from_payload(payload: &[u8]) -> Self {
         let Some((magic, rest)) = payload.split_first_chunk::<4>() else {
             return Self::default();
         };
         let Some((answer_len, rest)) = rest.split_first_chunk::<4>() else {
             return Self::default();
         };
-        let Some((work, _filler)) = rest.split_first_chunk::<4>() else {
+        let Some((work, _padding)) = rest.split_first_chunk::<4>() else {
             return Self::default();
         };
         if magic != PAYLOAD_MAGIC {
@@ -90,12 +92,12 @@
     }
 }
 
-impl AnswerIdentity {
-    /// The one right answer to a payload: a line that names everything it depends on, then bytes
-    /// drawn from that line.
+impl RequestIdentity {
+    /// Returns the only correct answer to a payload: a header line that names everything the answer
+    /// depends on, then pseudorandom bytes seeded by that line.
     pub fn answer(&self, payload: &[u8]) -> Vec<u8> {
-        let mut answer = self.first_line(payload).into_bytes();
-        let len = JobOrder::of_payload(payload).answer_len as usize;
+        let mut answer = self.header_line(payload).into_bytes();
+        let len = PayloadSpec::from_payload(payload).answer_len as usize;
         let begin = answer.len();
         let mut random = StdRng::seed_from_u64(xxh3_64(&answer));
         if len > begin {
@@ -105,19 +107,19 @@
         answer
     }
 
-    /// Judges what a caller received.
-    pub fn judge(&self, payload: &[u8], received: &[u8]) -> AnswerVerdict {
+    /// Compares what a caller received with the correct answer.
+    pub fn verify(&self, payload: &[u8], received: &[u8]) -> AnswerIntegrity {
         let expected = self.answer(payload);
         if received == expected {
-            return AnswerVerdict::Whole;
+            return AnswerIntegrity::Whole;
         }
         if expected.starts_with(received) {
-            return AnswerVerdict::Truncated;
+            return AnswerIntegrity::Truncated;
         }
-        AnswerVerdict::Foreign
+        AnswerIntegrity::Foreign
     }
 
-    fn first_line(&self, payload: &[u8]) -> String {
+    fn header_line(&self, payload: &[u8]) -> String {
         let Self {
             service,
             caller,
--- a/standin/src/bin/lagoon-demo.rs
+++ b/standin/src/bin/lagoon-demo.rs
@@ -1,4 +1,5 @@
-//! Runs the whole path in one process and ends with the table of what the callers received.
+//! Demonstration: runs platform, entry hosts, upstreams and callers in one process, and prints a
+//! table of the callers' results.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -14,16 +15,16 @@
 use lagoonproxy_standin::load_run::demo_load;
 
 /// Starts a platform, entry hosts and upstreams on loopback, and sends requests through a fabric
-/// that loses, repeats and reorders datagrams.
+/// that drops, duplicates and reorders datagrams.
 #[derive(FromArgs)]
 struct DemoArgs {
-    /// requests to send
+    /// number of requests to send
     #[argh(option, default = "10_000")]
     requests: u64,
-    /// entry hosts to start
+    /// number of entry hosts to start
     #[argh(option, default = "8")]
     hosts: u32,
-    /// share of datagrams that the fabric loses, repeats and reorders, each
+    /// probability, each, that the fabric drops, duplicates or reorders a datagram
     #[argh(option, default = "0.01")]
     trouble: f64,
 }
@@ -48,7 +49,7 @@
     let mut report = run.run().await;
     reporting.abort();
     let services = DEMO_SERVICES.map(|service| service.address);
-    report.judge(&services, &demo.run_reports());
+    report.verify(&services, &demo.run_reports());
     let fabric = demo.fabric.counters();
     println!(
         "{} entry hosts, {} zones, fabric: {} datagrams, {} lost, {} repeated, {} reordered\n",
--- a/standin/src/bin/lagoon-relay-bench.rs
+++ b/standin/src/bin/lagoon-relay-bench.rs
@@ -1,4 +1,4 @@
-//! Measures the relay ratio and, with a floor, fails below it.
+//! Measures the relay ratio of an entry daemon, and fails if the median is below a given floor.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -7,16 +7,17 @@
 use lagoonproxy_standin::relay_bench::RelayRound;
 use lagoonproxy_standin::relay_bench::measure_relay;
 
-/// Relays answers through an entry daemon and through a bare UDP relay on the same thread.
+/// Compares the throughput of responses relayed by an entry daemon with that of a bare UDP relay on
+/// the same thread.
 #[derive(FromArgs)]
 struct BenchArgs {
-    /// pairs of rounds
+    /// number of pairs of rounds
     #[argh(option, default = "9")]
     rounds: usize,
-    /// milliseconds of a round
+    /// duration of a round, in milliseconds
     #[argh(option, default = "300")]
     length_ms: u64,
-    /// least median ratio that is no failure
+    /// minimum median ratio; a lower one is a failure
     #[argh(option, default = "0.0")]
     floor: f64,
 }
@@ -32,9 +33,9 @@
         eprintln!(
             "bare {:.0}/s, {:.0} a busy second; entry {:.0}/s, {:.0} a busy second; ratio {:.3}",
             bare.per_second,
-            bare.per_busy_second,
+            bare.per_cpu_second,
             entry.per_second,
-            entry.per_busy_second,
+            entry.per_cpu_second,
             round.ratio(),
         );
     }
--- a/standin/src/bin/lagoonload.rs
+++ b/standin/src/bin/lagoonload.rs
@@ -1,5 +1,5 @@
-//! The load tool as a program: sends load through a fabric of its own to entry hosts that run, and
-//! judges what came back together with what the upstreams counted.
+//! Load generator: sends requests through its own fabric to running entry hosts, and checks the
+//! responses against the counters of the upstreams.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,40 +20,40 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// Time between two lines of progress.
-const PROGRESS_PAUSE: Duration = Duration::from_secs(1);
+/// Interval of progress output.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends load to entry hosts and exits with 0, or with 10 double run, 11 false 'not run',
-/// 12 foreign, 13 truncated, 14 lost, 15 broken flow: the first of these that was seen.
+/// Sends requests to entry hosts. Exit codes: 0 success, 10 double run, 11 false 'not run',
+/// 12 foreign, 13 truncated, 14 lost, 15 broken flow. The lowest applicable code is used.
 #[derive(FromArgs)]
 struct LoadArgs {
     /// settings file in YAML
     #[argh(option)]
     settings: PathBuf,
-    /// jobs to begin, in place of the settings' number
+    /// number of requests, overrides the settings file
     #[argh(option)]
     requests: Option<u64>,
-    /// jobs a second, in place of the settings' number
+    /// requests per second, overrides the settings file
     #[argh(option)]
     rate: Option<f64>,
-    /// print JSON lines in place of the table
+    /// print JSON lines instead of the table
     #[argh(switch)]
     json: bool,
 }
 
-/// Settings of the program.
+/// Settings file of the program.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ToolSettings {
     load: LoadSettings,
     #[serde(default)]
     fabric: FabricSettings,
-    /// Where entry hosts receive callers' datagrams.
+    /// Entry hosts that receive the callers' datagrams.
     hosts: Vec<FabricHost>,
-    /// Admin addresses that must call themselves ready before the load begins.
+    /// Admin addresses of hosts that must be ready before the load begins.
     #[serde(default)]
     ready: Vec<SocketAddr>,
-    /// Endpoints of the upstreams that are asked for what they ran.
+    /// Addresses at which the upstreams report the requests that they ran.
     #[serde(default)]
     upstreams: Vec<SocketAddr>,
 }
@@ -75,7 +75,7 @@
     let progress = tokio::spawn(show_progress(run.progress(), settings.load.requests));
     let mut report = run.run().await;
     progress.abort();
-    judge(&mut report, &settings).await?;
+    check_results(&mut report, &settings).await?;
     if args.json {
         print_json(&report, &fabric)?;
     } else {
@@ -86,7 +86,7 @@
 
 async fn show_progress(progress: LoadProgress, requests: u64) {
     loop {
-        tokio::time::sleep(PROGRESS_PAUSE).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
         let begun = progress.begun();
         let ended = progress.ended();
         eprintln!(
@@ -96,15 +96,15 @@
     }
 }
 
-async fn judge(report: &mut LoadReport, settings: &ToolSettings) -> reqwest::Result<()> {
+async fn check_results(report: &mut LoadReport, settings: &ToolSettings) -> reqwest::Result<()> {
     let mut runs = Vec::new();
     for address in &settings.upstreams {
-        let answer = reqwest::get(format!("http://{address}/standin/runs")).await?;
-        runs.push(answer.json::<RunReport>().await?);
+        let response = reqwest::get(format!("http://{address}/standin/runs")).await?;
+        runs.push(response.json::<RunReport>().await?);
     }
     let services = settings.load.services.iter();
     let addresses: Vec<SocketAddr> = services.map(|service| service.address).collect();
-    report.judge(&addresses, &runs);
+    report.verify(&addresses, &runs);
     Ok(())
 }
 
--- a/standin/src/bin/standin-platform.rs
+++ b/standin/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in as a program.
+//! Runs the platform stand-in as a program.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-/// Serves configuration to be read and watched, and lets operators and tests change it.
+/// Serves a configuration store that hosts read and watch, and that operators and tests change.
 #[derive(FromArgs)]
 struct PlatformArgs {
-    /// where to listen; port 0 lets the system choose
+    /// address to listen at; port 0 selects a free port
     #[argh(option, default = "([127, 0, 0, 1], 0).into()")]
     address: SocketAddr,
-    /// YAML file with the keys and values to publish at the start
+    /// YAML file with the keys and values to publish at startup
     #[argh(option)]
     publish: Option<PathBuf>,
 }
--- a/standin/src/bin/standin-upstream.rs
+++ b/standin/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! Upstream stand-ins as a program: one process runs all upstreams of its settings file.
+//! Runs all upstream stand-ins of a settings file in one process.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use lagoonproxy_standin::upstream_core::UpstreamSettings;
 use tokio::task::JoinSet;
 
-/// Runs upstreams that count what they run and answer with content that can be checked.
+/// Runs upstreams that record the requests they run and send verifiable responses.
 #[derive(FromArgs)]
 struct UpstreamArgs {
     /// YAML file with a list of upstreams
--- a/standin/src/caller.rs
+++ b/standin/src/caller.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a caller behind the fabric: flows, requests, retransmission, and the check of each
-//! answer by its content.
+//! Implements a caller behind the fabric: flows, requests, retransmission, and a check of the
+//! content of each answer.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -29,44 +29,44 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use crate::answer_content::AnswerIdentity;
-use crate::answer_content::AnswerVerdict;
+use crate::answer_content::AnswerIntegrity;
+use crate::answer_content::RequestIdentity;
 use crate::fabric::Fabric;
 
-/// How long a caller waits before it sends a frame again; doubles each time.
-const RESEND_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause between two copies.
-const MAX_RESEND_PAUSE: Duration = Duration::from_secs(1);
-/// How long a caller asks past its deadline for the refusal that the deadline causes.
-const LAST_WORD: Duration = Duration::from_secs(1);
-/// The number under which frames of a flow as a whole are received.
-const FLOW_FRAMES: RequestId = 0;
+/// Time before the first retransmission of a frame; it doubles with each retransmission.
+const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time between two retransmissions.
+const MAX_RETRANSMIT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after a request's deadline during which the caller requests its outcome.
+const OUTCOME_GRACE: Duration = Duration::from_secs(1);
+/// Request number under which frames that concern a whole flow are received.
+const FLOW_FRAME_REQUEST: RequestId = 0;
 
-/// A request as the caller means it.
+/// A request to be sent by a caller.
 #[derive(Clone, Debug)]
 pub struct CallSpec {
-    /// The service.
+    /// The address of the service.
     pub service: ServiceAddress,
-    /// The flow.
+    /// The flow that carries the request.
     pub flow: FlowId,
-    /// Its number, not zero.
+    /// The request's number, not zero.
     pub request: RequestId,
-    /// Whether running it twice does no harm.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// What the upstream gets.
+    /// The payload for the upstream.
     pub payload: Bytes,
-    /// When the caller stops waiting.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Instant,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A whole answer, judged by its content.
-    Answered(AnswerVerdict),
-    /// A refusal that asking again with the same number does not change.
+    /// All parts of an answer arrived; its content was checked.
+    Answered(AnswerIntegrity),
+    /// The request was refused, and a retransmission under the same number would not change that.
     Refused(RefusalBody),
-    /// Nothing before the deadline.
+    /// Neither an answer nor a refusal arrived in time.
     TimedOut,
 }
 
@@ -77,18 +77,18 @@
     address: SocketAddr,
     zone: ZoneName,
     fabric: Fabric,
-    waiting: Mutex<HashMap<FrameKey, mpsc::UnboundedSender<CallerBody>>>,
-    /// The flows that a host has confirmed and that were not closed.
+    inboxes: Mutex<HashMap<FrameKey, mpsc::UnboundedSender<CallerBody>>>,
+    /// The flows that a host has confirmed and that have not been closed.
     opened: Mutex<BTreeSet<(ServiceAddress, FlowId)>>,
 }
 
-/// One caller with an address of its own; its flows and requests run side by side.
+/// A caller with an address of its own; its flows and requests run concurrently.
 pub struct Caller {
     shared: Arc<CallerShared>,
     tasks: [JoinHandle<()>; 2],
 }
 
-/// Receives the frames of one request or flow for as long as it lives.
+/// Receives the frames of one request or flow until it is dropped.
 struct FrameInbox<'a> {
     shared: &'a CallerShared,
     key: FrameKey,
@@ -96,7 +96,7 @@
 }
 
 impl Caller {
-    /// Binds a port behind `fabric`, near the hosts of `zone`.
+    /// Binds a port behind `fabric`, in `zone`.
     pub async fn bind(fabric: &Fabric, zone: &str) -> std::io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let shared = Arc::new(CallerShared {
@@ -104,105 +104,108 @@
             socket,
             zone: zone.into(),
             fabric: fabric.clone(),
-            waiting: Mutex::default(),
+            inboxes: Mutex::default(),
             opened: Mutex::default(),
         });
         let (sender, receiver) = mpsc::unbounded_channel();
         let tasks = [
             tokio::spawn(receive_datagrams(Arc::clone(&shared), sender)),
-            tokio::spawn(sort_frames(Arc::clone(&shared), receiver)),
+            tokio::spawn(route_frames(Arc::clone(&shared), receiver)),
         ];
         Ok(Self { shared, tasks })
     }
 
-    /// The address that entry hosts see.
+    /// Returns the caller's address as entry hosts see it.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Opens a flow; the error is the last refusal, or `None` if nothing came before `deadline`.
+    /// Opens a flow; the error is the last refusal, or `None` if no reply arrived before `deadline`.
     pub async fn open(
         &self,
         service: ServiceAddress,
         flow: FlowId,
         deadline: Instant,
     ) -> Result<(), Option<RefusalBody>> {
-        let mut inbox = self.shared.inbox((service, flow, FLOW_FRAMES));
+        let mut inbox = self.shared.inbox((service, flow, FLOW_FRAME_REQUEST));
         let mut last_refusal = None;
-        let mut pause = RESEND_PAUSE;
+        let mut interval = RETRANSMIT_INTERVAL;
         while Instant::now() < deadline {
             self.send(service, flow, CallerBody::Open).await;
-            let mut resend = Instant::now() + pause;
-            while let Some(body) = inbox.receive(resend.min(deadline)).await {
+            let mut next_send = Instant::now() + interval;
+            while let Some(body) = inbox.receive(next_send.min(deadline)).await {
                 match body {
                     CallerBody::Opened => {
-                        self.shared.opened().insert((service, flow));
+                        self.shared.lock_opened().insert((service, flow));
                         return Ok(());
                     }
                     CallerBody::Refusal(refusal) => {
-                        resend = Instant::now() + with_jitter(refusal.retry_after.max(pause));
+                        next_send = Instant::now() + with_jitter(refusal.retry_after.max(interval));
                         last_refusal = Some(refusal);
                     }
                     _ => {}
                 }
             }
-            pause = MAX_RESEND_PAUSE.min(pause * 2);
+            interval = MAX_RETRANSMIT_INTERVAL.min(interval * 2);
         }
         Err(last_refusal)
     }
 
-    /// Ends a flow; nothing is waited for.
+    /// Closes a flow without waiting for a confirmation.
     pub async fn close(&self, service: ServiceAddress, flow: FlowId) {
-        self.shared.opened().remove(&(service, flow));
+        self.shared.lock_opened().remove(&(service, flow));
         self.send(service, flow, CallerBody::Close).await;
     }
 
-    /// Withdraws a request; its outcome still comes to [`Self::call`].
+    /// Cancels a request; [`Self::call`] still returns its outcome.
     pub async fn cancel(&self, service: ServiceAddress, flow: FlowId, request: RequestId) {
         self.send(service, flow, CallerBody::Cancel { request })
             .await;
     }
 
-    /// Sends a request, again after each pause, until it has an outcome.
+    /// Sends a request, and retransmits it until it has an outcome.
     ///
-    /// A refusal with an unknown outcome is not the last word while it names a time to come back:
-    /// asking again with the same number is always safe, and a host with a record may know more.
+    /// A refusal with an unknown outcome is not final if it has a retry delay: a retransmission
+    /// under the same number is always safe, and a host with a record of the request may know its
+    /// outcome.
     pub async fn call(&self, call: &CallSpec) -> CallOutcome {
         let key = (call.service, call.flow, call.request);
         let mut inbox = self.shared.inbox(key);
         let mut answer = None;
         let mut last_refusal = None;
-        let mut pause = RESEND_PAUSE;
+        let mut interval = RETRANSMIT_INTERVAL;
         let start = Instant::now();
         while Instant::now() < call.deadline {
             self.send_request(call, start).await;
-            let mut resend = Instant::now() + pause;
-            while let Some(body) = inbox.receive(resend.min(call.deadline)).await {
+            let mut next_send = Instant::now() + interval;
+            while let Some(body) = inbox.receive(next_send.min(call.deadline)).await {
                 match body {
                     CallerBody::Part(part) => {
-                        if let Some(verdict) = self.take_part(call, &part, &mut answer).await {
-                            return CallOutcome::Answered(verdict);
+                        if let Some(integrity) = self.receive_part(call, &part, &mut answer).await {
+                            return CallOutcome::Answered(integrity);
                         }
                     }
                     CallerBody::Refusal(refusal) if is_final(&refusal) => {
                         return CallOutcome::Refused(refusal);
                     }
                     CallerBody::Refusal(refusal) => {
-                        resend = Instant::now() + with_jitter(refusal.retry_after);
+                        next_send = Instant::now() + with_jitter(refusal.retry_after);
                         last_refusal = Some(refusal);
                     }
                     _ => {}
                 }
             }
-            pause = MAX_RESEND_PAUSE.min(pause * 2);
+            interval = MAX_RETRANSMIT_INTERVAL.min(interval * 2);
         }
-        self.hear_last_word(call, start, &mut inbox, answer, last_refusal)
+        self.await_late_outcome(call, start, &mut inbox, answer, last_refusal)
             .await
     }
 
-    /// Asks for the outcome of a request whose time is up. The refusal that the deadline causes may
-    /// be lost like any datagram; a copy with no time left is never run, and gets it again.
-    async fn hear_last_word(
+    /// Waits for the outcome of a request whose deadline has passed, and retransmits the request.
+    ///
+    /// The refusal that the deadline causes may be lost like any datagram. A retransmission with no
+    /// time left is never run, and is refused again.
+    async fn await_late_outcome(
         &self,
         call: &CallSpec,
         start: Instant,
@@ -210,14 +213,14 @@
         mut answer: Option<AnswerBuffer>,
         last_refusal: Option<RefusalBody>,
     ) -> CallOutcome {
-        let end = call.deadline + LAST_WORD;
+        let end = call.deadline + OUTCOME_GRACE;
         while Instant::now() < end {
-            let resend = end.min(Instant::now() + RESEND_PAUSE);
-            while let Some(body) = inbox.receive(resend).await {
+            let next_send = end.min(Instant::now() + RETRANSMIT_INTERVAL);
+            while let Some(body) = inbox.receive(next_send).await {
                 match body {
                     CallerBody::Part(part) => {
-                        if let Some(verdict) = self.take_part(call, &part, &mut answer).await {
-                            return CallOutcome::Answered(verdict);
+                        if let Some(integrity) = self.receive_part(call, &part, &mut answer).await {
+                            return CallOutcome::Answered(integrity);
                         }
                     }
                     CallerBody::Refusal(refusal) => return CallOutcome::Refused(refusal),
@@ -229,13 +232,14 @@
         last_refusal.map_or(CallOutcome::TimedOut, CallOutcome::Refused)
     }
 
-    /// Adds a part; a verdict and an acknowledgement once the answer is whole.
-    async fn take_part(
+    /// Adds a part of an answer. Once the answer is whole, acknowledges it and returns the result
+    /// of the check of its content.
+    async fn receive_part(
         &self,
         call: &CallSpec,
         part: &AnswerPart,
         answer: &mut Option<AnswerBuffer>,
-    ) -> Option<AnswerVerdict> {
+    ) -> Option<AnswerIntegrity> {
         match answer {
             Some(buffer) if buffer.run() == part.run => {
                 buffer.add(part);
@@ -247,12 +251,12 @@
         let request = call.request;
         self.send(call.service, call.flow, CallerBody::Ack { request })
             .await;
-        Some(self.identity(call).judge(&call.payload, &received))
+        Some(self.identity(call).verify(&call.payload, &received))
     }
 
-    /// The identity that the right answer to a call depends on.
-    pub fn identity(&self, call: &CallSpec) -> AnswerIdentity {
-        AnswerIdentity {
+    /// Returns the identity of a request, which determines the correct answer.
+    pub fn identity(&self, call: &CallSpec) -> RequestIdentity {
+        RequestIdentity {
             service: call.service,
             caller: self.shared.address,
             flow: call.flow,
@@ -266,7 +270,10 @@
             age: start.elapsed(),
             remaining: call.deadline.saturating_duration_since(Instant::now()),
             idempotent: call.idempotent,
-            established: self.shared.opened().contains(&(call.service, call.flow)),
+            established: self
+                .shared
+                .lock_opened()
+                .contains(&(call.service, call.flow)),
             payload: call.payload.clone(),
         });
         self.send(call.service, call.flow, body).await;
@@ -286,7 +293,7 @@
                     .spray(&shared.zone, &shared.socket, bytes)
                     .await;
             }
-            Err(code) => log::error!("cannot encode: {code:?}"),
+            Err(code) => log::error!("cannot encode a frame to an entry host: {code:?}"),
         }
     }
 }
@@ -302,7 +309,7 @@
 impl CallerShared {
     fn inbox(&self, key: FrameKey) -> FrameInbox<'_> {
         let (sender, frames) = mpsc::unbounded_channel();
-        self.lock().insert(key, sender);
+        self.lock_inboxes().insert(key, sender);
         FrameInbox {
             shared: self,
             key,
@@ -310,13 +317,13 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<FrameKey, mpsc::UnboundedSender<CallerBody>>> {
-        self.waiting
+    fn lock_inboxes(&self) -> MutexGuard<'_, HashMap<FrameKey, mpsc::UnboundedSender<CallerBody>>> {
+        self.inboxes
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn opened(&self) -> MutexGuard<'_, BTreeSet<(ServiceAddress, FlowId)>> {
+    fn lock_opened(&self) -> MutexGuard<'_, BTreeSet<(ServiceAddress, FlowId)>> {
         self.opened
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
@@ -324,7 +331,7 @@
 }
 
 impl FrameInbox<'_> {
-    /// The next frame, or `None` when `deadline` passes first.
+    /// Returns the next frame, or `None` if `deadline` passes first.
     async fn receive(&mut self, deadline: Instant) -> Option<CallerBody> {
         tokio::time::timeout_at(deadline.into(), self.frames.recv())
             .await
@@ -334,16 +341,16 @@
 
 impl Drop for FrameInbox<'_> {
     fn drop(&mut self) {
-        self.shared.lock().remove(&self.key);
+        self.shared.lock_inboxes().remove(&self.key);
     }
 }
 
-/// Spreads the return of refused callers, who would otherwise come back in step.
-pub fn with_jitter(pause: Duration) -> Duration {
-    pause.mul_f64(rand::rng().random_range(1.0..1.5))
+/// Adds up to half of `interval` at random, so that refused callers don't retry at the same time.
+pub fn with_jitter(interval: Duration) -> Duration {
+    interval.mul_f64(rand::rng().random_range(1.0..1.5))
 }
 
-/// Whether asking again with the same number changes nothing.
+/// Returns whether a retransmission under the same number would not change the refusal.
 fn is_final(refusal: &RefusalBody) -> bool {
     refusal.outcome != RunOutcome::Unknown || refusal.retry_after.is_zero()
 }
@@ -359,29 +366,29 @@
     }
 }
 
-async fn sort_frames(shared: Arc<CallerShared>, mut receiver: mpsc::UnboundedReceiver<Bytes>) {
+async fn route_frames(shared: Arc<CallerShared>, mut receiver: mpsc::UnboundedReceiver<Bytes>) {
     while let Some(bytes) = receiver.recv().await {
         let Ok(frame) = wire_frame::decode_caller(&bytes) else {
             continue;
         };
-        let request = request_of(&frame.body);
-        let waiting = shared.lock();
-        if let Some(inbox) = waiting.get(&(frame.service, frame.flow, request)) {
-            let _outcome_known = inbox.send(frame.body);
+        let request = request_id(&frame.body);
+        let inboxes = shared.lock_inboxes();
+        if let Some(inbox) = inboxes.get(&(frame.service, frame.flow, request)) {
+            let _receiver_dropped = inbox.send(frame.body);
         }
     }
 }
 
-fn request_of(body: &CallerBody) -> RequestId {
+fn request_id(body: &CallerBody) -> RequestId {
     match body {
         CallerBody::Accepted { request }
         | CallerBody::Ack { request }
         | CallerBody::Cancel { request } => *request,
         CallerBody::Part(part) => part.request,
-        CallerBody::Refusal(refusal) => refusal.request.unwrap_or(FLOW_FRAMES),
+        CallerBody::Refusal(refusal) => refusal.request.unwrap_or(FLOW_FRAME_REQUEST),
         CallerBody::Request(request) => request.request,
         CallerBody::Open | CallerBody::Opened | CallerBody::Close | CallerBody::Closed => {
-            FLOW_FRAMES
+            FLOW_FRAME_REQUEST
         }
     }
 }
--- a/standin/src/demo.rs
+++ b/standin/src/demo.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process: platform, entry hosts, upstreams, fabric.
+//! Runs a whole system in one process: platform, entry hosts, upstreams and fabric.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,27 +34,27 @@
 use crate::upstream::UpstreamHandle;
 use crate::upstream_core::UpstreamSettings;
 
-/// Key of the demonstration's hosts.
+/// Key that the demonstration's hosts share.
 const SHARED_KEY: [u8; 16] = *b"lagoonproxy demo";
-/// Requests that an upstream of the demonstration runs at once.
+/// Requests that an upstream runs concurrently, and also the length of its queue.
 const SLOTS: u32 = 2;
-/// Flows that an upstream of the demonstration holds.
+/// Maximum number of open flows of an upstream.
 const CONNECTIONS: u32 = 2_000;
 
 /// A service of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoService {
-    /// Its number.
+    /// The published number of the service.
     pub id: ServiceId,
-    /// Its name, also the value of its upstreams' `service` label.
+    /// The service's name, also the value of its upstreams' `service` label.
     pub name: &'static str,
-    /// Where callers send to.
+    /// The virtual address that callers send to.
     pub address: SocketAddr,
-    /// How many upstreams it has.
+    /// Number of upstreams.
     pub upstreams: u32,
 }
 
-/// The ledger and certdocs of Ziguinchor.
+/// The ledger and certdocs services of Ziguinchor.
 pub const DEMO_SERVICES: [DemoService; 2] = [
     DemoService {
         id: 1,
@@ -79,20 +79,23 @@
 /// The availability zones of Ziguinchor.
 pub const DEMO_ZONES: [&str; 3] = ["zig-a", "zig-b", "bign"];
 
-/// A running system.
+/// A running system; its tasks are aborted when it is dropped.
 pub struct Demo {
-    /// The platform.
+    /// The platform stand-in.
     pub platform: Platform,
-    /// What sprays over the entry hosts.
+    /// The fabric that spreads callers' datagrams over the entry hosts.
     pub fabric: Fabric,
-    /// Where the hosts show their status.
-    pub admins: Vec<SocketAddr>,
+    /// Admin addresses of the entry daemons.
+    pub admin_addresses: Vec<SocketAddr>,
     upstreams: Vec<UpstreamHandle>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Demo {
-    /// Starts `hosts` entry hosts spread over `zones` and the upstreams of `services`.
+    /// Starts `hosts` entry hosts and the upstreams of `services`, both distributed over `zones` in
+    /// turn, and returns once every host is ready.
+    ///
+    /// Returns an error if an address cannot be bound.
     pub async fn start(
         hosts: u32,
         zones: &[&str],
@@ -104,7 +107,7 @@
         let mut demo = Self {
             platform,
             fabric: Fabric::new(fabric, Vec::new()),
-            admins: Vec::new(),
+            admin_addresses: Vec::new(),
             upstreams: Vec::new(),
             tasks: Vec::new(),
         };
@@ -115,22 +118,22 @@
         demo.platform
             .publish("services/main/0", &service_docs(services));
         let mut entries = Vec::new();
-        let mut behind_fabric = Vec::new();
+        let mut fabric_hosts = Vec::new();
         for (host, zone) in (0..hosts).zip(zones.iter().cycle()) {
             let (entry, address) = demo.start_host(host, zone, platform_address).await?;
-            behind_fabric.push(FabricHost {
+            fabric_hosts.push(FabricHost {
                 zone: entry.zone.clone(),
                 address,
             });
             entries.push(entry);
         }
         publish_by_zone(&demo.platform, "hosts", "", &entries, |entry| &entry.zone);
-        demo.fabric.set_hosts(behind_fabric);
-        wait_until_ready(&demo.admins).await;
+        demo.fabric.set_hosts(fabric_hosts);
+        wait_until_ready(&demo.admin_addresses).await;
         Ok(demo)
     }
 
-    /// What each upstream ran.
+    /// Returns the run records of each upstream.
     pub fn run_reports(&self) -> Vec<RunReport> {
         let records = self.upstreams.iter().map(UpstreamHandle::records);
         records
@@ -236,7 +239,7 @@
         })
         .await?;
         let addresses = entry.addresses()?;
-        self.admins.extend(addresses.admin);
+        self.admin_addresses.extend(addresses.admin);
         self.tasks.push(tokio::spawn(async move {
             if let Err(error) = control.run(std::future::pending()).await {
                 log::error!("host {host}: control daemon: {error}");
@@ -267,7 +270,7 @@
     }
 }
 
-/// The addresses of services by name.
+/// Returns the addresses of services by name.
 pub fn service_addresses(services: &[DemoService]) -> BTreeMap<SmolStr, SocketAddr> {
     let named = services.iter();
     named
@@ -287,7 +290,7 @@
         .collect()
 }
 
-/// Publishes entries under one key a zone: `<kind>/<zone><suffix>`.
+/// Publishes entries under one key per zone: `<kind>/<zone><suffix>`.
 pub fn publish_by_zone<T: Serialize>(
     platform: &Platform,
     kind: &str,
--- a/standin/src/fabric.rs
+++ b/standin/src/fabric.rs
@@ -1,8 +1,8 @@
-//! Stand-in for the fabric: hands each datagram of a caller to any entry host that it reaches, and
-//! loses, repeats, reorders and delays datagrams in both directions, all drawn from one seed.
+//! Stand-in for the fabric: forwards each datagram of a caller to a random entry host, and drops,
+//! duplicates, reorders and delays datagrams in both directions.
 //!
-//! Availability zones are cut from each other here and in [`crate::peer_proxy`], never in the
-//! machine's network.
+//! All random choices come from one seed. Partitions between availability zones are simulated here
+//! and in [`crate::peer_proxy`]; the network of the machine is never changed.
 
 use std::cmp::Ordering;
 use std::cmp::Reverse;
@@ -25,81 +25,82 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// How a fabric treats datagrams; probabilities are between 0 and 1.
+/// Faults and delays of a fabric. Probabilities are between 0 and 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FabricSettings {
-    /// Seed of every choice.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Share of datagrams that are lost.
+    /// Probability that a datagram is dropped.
     pub loss: f64,
-    /// Share of datagrams that arrive twice.
+    /// Probability that a datagram is delivered twice.
     pub duplication: f64,
-    /// Share of datagrams that are held back so that later ones overtake them.
+    /// Probability that a copy of a datagram is delayed by `held_ms`, so that later ones overtake
+    /// it.
     pub reordering: f64,
-    /// Delay of each datagram one way, in milliseconds.
+    /// One-way delay of each datagram, in milliseconds.
     pub delay_ms: f64,
-    /// Most that is added to the delay, in milliseconds.
+    /// Maximum jitter added to the delay, in milliseconds; uniformly distributed.
     pub jitter_ms: f64,
-    /// How long a reordered datagram is held back, in milliseconds.
+    /// Additional delay of a reordered datagram, in milliseconds.
     pub held_ms: f64,
 }
 
-/// What a fabric did with datagrams.
+/// Counters of a fabric.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FabricCounters {
-    /// Datagrams handed over.
+    /// Datagrams accepted for delivery, dropped ones included.
     pub carried: u64,
-    /// Datagrams lost by chance.
+    /// Datagrams dropped at random.
     pub lost: u64,
-    /// Datagrams repeated.
+    /// Datagrams delivered twice.
     pub duplicated: u64,
-    /// Datagrams held back.
+    /// Copies of datagrams delayed for reordering.
     pub reordered: u64,
-    /// Datagrams that met a cut, or found no host.
+    /// Datagrams dropped by a partition, or because no host was reachable.
     pub cut: u64,
 }
 
-/// An entry host as the fabric knows it.
+/// An entry host of the fabric.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FabricHost {
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it receives callers' datagrams.
+    /// Address at which it receives datagrams of callers.
     pub address: SocketAddr,
 }
 
-/// A datagram and where it goes.
+/// A datagram and its destination.
 pub(crate) enum FabricDelivery {
-    /// To a socket of the system.
+    /// Sent from a UDP socket to an address.
     Socket {
         socket: Arc<UdpSocket>,
         address: SocketAddr,
         bytes: Bytes,
     },
-    /// To a caller.
+    /// Passed to a caller in this process.
     Caller {
         sender: mpsc::UnboundedSender<Bytes>,
         bytes: Bytes,
     },
 }
 
-/// A delivery that waits; ordered by time, then by arrival.
+/// A delayed delivery, ordered by due time, then by arrival.
 struct DelayedDelivery {
     due: Instant,
-    number: u64,
+    sequence: u64,
     delivery: FabricDelivery,
 }
 
 struct FabricState {
     settings: FabricSettings,
-    random: StdRng,
+    rng: StdRng,
     hosts: Vec<FabricHost>,
     cuts: BTreeSet<(ZoneName, ZoneName)>,
     counters: FabricCounters,
 }
 
-/// A fabric; clones share it.
+/// The fabric. Clones share its state.
 #[derive(Clone)]
 pub struct Fabric {
     state: Arc<Mutex<FabricState>>,
@@ -107,13 +108,13 @@
 }
 
 impl Fabric {
-    /// A fabric before `hosts`; needs a runtime for what it delays.
+    /// Creates a fabric in front of `hosts`, and spawns the task that delivers delayed datagrams.
     pub fn new(settings: FabricSettings, hosts: Vec<FabricHost>) -> Self {
         let (delayed, receiver) = mpsc::unbounded_channel();
         tokio::spawn(deliver_delayed(receiver));
         let state = FabricState {
             settings,
-            random: StdRng::seed_from_u64(settings.seed),
+            rng: StdRng::seed_from_u64(settings.seed),
             hosts,
             cuts: BTreeSet::new(),
             counters: FabricCounters::default(),
@@ -129,24 +130,24 @@
         self.lock().hosts = hosts;
     }
 
-    /// Cuts two availability zones from each other, both ways.
+    /// Partitions two availability zones from each other in both directions.
     pub fn cut(&self, left: &str, right: &str) {
         let mut state = self.lock();
         state.cuts.insert((left.into(), right.into()));
         state.cuts.insert((right.into(), left.into()));
     }
 
-    /// Ends every cut.
+    /// Ends all partitions.
     pub fn heal(&self) {
         self.lock().cuts.clear();
     }
 
-    /// What became of the datagrams so far.
+    /// Returns the counters.
     pub fn counters(&self) -> FabricCounters {
         self.lock().counters
     }
 
-    /// Sends a datagram of a caller in `zone` from `socket` to any host that it reaches.
+    /// Sends a datagram of a caller in `zone` from `socket` to a random reachable host.
     pub(crate) async fn spray(&self, zone: &str, socket: &Arc<UdpSocket>, bytes: Bytes) {
         let Some(address) = self.lock().choose_host(zone) else {
             return;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Takes a datagram that a host sent to a caller.
+    /// Delivers a datagram of a host to a caller.
     pub(crate) async fn give_back(&self, sender: &mpsc::UnboundedSender<Bytes>, bytes: Bytes) {
         let delays = self.lock().draw_delays();
         for delay in delays.into_iter().flatten() {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Sends a datagram between two hosts unless their zones are cut from each other.
+    /// Sends a datagram between two hosts unless their zones are partitioned.
     pub(crate) async fn relay(
         &self,
         zones: (&str, &str),
@@ -232,10 +233,10 @@
             self.counters.cut += 1;
             return None;
         }
-        Some(reachable[self.random.random_range(0..reachable.len())])
+        Some(reachable[self.rng.random_range(0..reachable.len())])
     }
 
-    /// The delay of each copy that arrives: none, one or two.
+    /// Draws the delay of each copy to deliver: no copy if the datagram is lost, two if duplicated.
     fn draw_delays(&mut self) -> [Option<Duration>; 2] {
         self.counters.carried += 1;
         if self.happens(self.settings.loss) {
@@ -253,7 +254,7 @@
     fn draw_delay(&mut self) -> Duration {
         let mut ms = self.settings.delay_ms;
         if self.settings.jitter_ms > 0.0 {
-            ms += self.random.random::<f64>() * self.settings.jitter_ms;
+            ms += self.rng.random::<f64>() * self.settings.jitter_ms;
         }
         if self.happens(self.settings.reordering) {
             self.counters.reordered += 1;
@@ -263,7 +264,7 @@
     }
 
     fn happens(&mut self, probability: f64) -> bool {
-        probability > 0.0 && self.random.random::<f64>() < probability
+        probability > 0.0 && self.rng.random::<f64>() < probability
     }
 }
 
@@ -300,13 +301,13 @@
 
 impl Ord for DelayedDelivery {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.due, self.number).cmp(&(other.due, other.number))
+        (self.due, self.sequence).cmp(&(other.due, other.sequence))
     }
 }
 
 async fn deliver_delayed(mut receiver: mpsc::UnboundedReceiver<(Instant, FabricDelivery)>) {
     let mut waiting: BinaryHeap<Reverse<DelayedDelivery>> = BinaryHeap::new();
-    let mut number = 0;
+    let mut sequence = 0;
     loop {
         let next_due = waiting.peek().map(|Reverse(first)| first.due);
         let received = match next_due {
@@ -324,10 +325,10 @@
         let Some((due, delivery)) = received else {
             return;
         };
-        number += 1;
+        sequence += 1;
         waiting.push(Reverse(DelayedDelivery {
             due,
-            number,
+            sequence,
             delivery,
         }));
     }
--- a/standin/src/key_store.rs
+++ b/standin/src/key_store.rs
@@ -1,4 +1,4 @@
-//! The platform's keys: versions, expected versions, and the history that watches read.
+//! Stores the platform's keys with their versions, and a history of changes for watches.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -10,48 +10,47 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Longest value in bytes of JSON.
+/// Maximum length of a value in bytes of JSON.
 pub const MAX_VALUE: usize = 1_000_000;
-/// Changes that are kept for watches unless a smaller number is set.
+/// Default number of changes that are retained for watches.
 pub const HISTORY_LIMIT: usize = 4_096;
 
-/// One change of one key.
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct KeyChange {
     /// The key.
     pub key: SmolStr,
-    /// The revision that the change made, and the key's version since.
+    /// The revision that the change created, which is also the key's version.
     pub version: Version,
-    /// The new value, or `None` when the key was deleted.
+    /// The new value, or `None` if the key was deleted.
     pub value: Option<Arc<Value>>,
 }
 
-/// Why the store refuses a call.
+/// An error of the key store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreError {
-    /// Another operator was faster.
-    #[snafu(display("the key has version {actual}"))]
+    /// The key does not have the expected version, for example after a concurrent change.
+    #[snafu(display("version conflict: the key has version {actual}"))]
     VersionConflict {
-        /// The version that the key has, zero if it is not there.
+        /// The current version of the key, zero if it does not exist.
         actual: Version,
     },
-    /// The value is longer than allowed.
-    #[snafu(display("a value has at most {MAX_VALUE} bytes"))]
+    /// The value exceeds [`MAX_VALUE`].
+    #[snafu(display("the value exceeds {MAX_VALUE} bytes"))]
     ValueTooLong,
-    /// The revision lies before the history that is kept, or after it: in a history that was lost.
-    #[snafu(display(
-        "the history begins after revision {floor} and does not reach further than the store"
-    ))]
-    HistoryGone {
-        /// The oldest revision that can be asked for.
+    /// The revision is older than the retained history, or newer than the store, which was restored
+    /// from a backup.
+    #[snafu(display("the revision is outside the history, which begins after revision {floor}"))]
+    HistoryDropped {
+        /// The oldest revision that can be queried.
         floor: Version,
     },
 }
 
-/// Keys with their values and the last changes.
+/// Keys with their values, and a bounded history of changes.
 ///
 /// Invariants: versions in `history` ascend; `floor` is the version of the last change that was
-/// dropped from it; `revision` is the version of the newest change.
+/// dropped from it; `revision` is the version of the latest change.
 #[derive(Clone, Debug)]
 pub struct KeyStore {
     revision: Version,
@@ -74,12 +73,15 @@
 }
 
 impl KeyStore {
-    /// The version of the newest change.
+    /// Returns the version of the latest change.
     pub fn revision(&self) -> Version {
         self.revision
     }
 
-    /// Sets or, with `None`, deletes a key; `expected` is the version that it must have before.
+    /// Sets a key, or deletes it if `value` is `None`, and returns its new version.
+    ///
+    /// Returns an error if the value is too long or the key's version is not `expected`, which is
+    /// zero for a key that must not exist.
     pub fn change(
         &mut self,
         key: &str,
@@ -102,7 +104,7 @@
         Ok(self.revision)
     }
 
-    /// The keys under a prefix, in ascending order.
+    /// Returns the keys under a prefix, in ascending order.
     pub fn list<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a KeyChange> + 'a {
         self.values
             .range(SmolStr::from(prefix)..)
@@ -110,19 +112,20 @@
             .take_while(move |change| change.key.starts_with(prefix))
     }
 
-    /// A key's last change.
+    /// Returns the last change of an existing key.
     pub fn get(&self, key: &str) -> Option<&KeyChange> {
         self.values.get(key)
     }
 
-    /// The newest change after `after` of each key under a prefix, in ascending order of version.
+    /// Returns the latest change after revision `after` of each key under a prefix, in ascending
+    /// order of version; an error if the history does not cover `after`.
     pub fn changes_after(
         &self,
         prefix: &str,
         after: Version,
     ) -> Result<Vec<KeyChange>, StoreError> {
         if after < self.floor || after > self.revision {
-            return Err(StoreError::HistoryGone { floor: self.floor });
+            return Err(StoreError::HistoryDropped { floor: self.floor });
         }
         let mut newest = BTreeMap::new();
         let later = self.history.iter().filter(|change| change.version > after);
@@ -134,12 +137,13 @@
         Ok(changes)
     }
 
-    /// A copy as it was at a revision that the history still covers.
-    pub fn copy_at(&self, revision: Version) -> Result<Self, StoreError> {
+    /// Returns a copy of the store as of a revision; an error if the history does not reach back to
+    /// it.
+    pub fn snapshot_at(&self, revision: Version) -> Result<Self, StoreError> {
         if revision < self.floor {
-            return Err(StoreError::HistoryGone { floor: self.floor });
+            return Err(StoreError::HistoryDropped { floor: self.floor });
         }
-        let mut copy = Self {
+        let mut snapshot = Self {
             revision: revision.min(self.revision),
             floor: self.floor,
             history_limit: self.history_limit,
@@ -147,20 +151,20 @@
         };
         let unchanged = self.values.values().filter(|key| key.version <= self.floor);
         for change in unchanged {
-            copy.values.insert(change.key.clone(), change.clone());
+            snapshot.values.insert(change.key.clone(), change.clone());
         }
         for change in self
             .history
             .iter()
             .filter(|change| change.version <= revision)
         {
-            copy.apply(change.clone());
+            snapshot.apply(change.clone());
         }
-        Ok(copy)
+        Ok(snapshot)
     }
 
-    /// Keeps at most this many changes for watches from now on.
-    pub fn limit_history(&mut self, limit: usize) {
+    /// Limits the history to `limit` changes.
+    pub fn set_history_limit(&mut self, limit: usize) {
         self.history_limit = limit;
         self.trim();
     }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for what lies outside lagoonproxy, for tests and demonstrations; not shipped.
+//! Test doubles of the systems around lagoonproxy, for tests and demonstrations; not shipped.
 //!
-//! The platform, upstreams, and callers behind a fabric that sprays datagrams over entry hosts.
+//! They stand in for the platform, the upstreams, the callers, and the network fabric that spreads
+//! the callers' datagrams over the entry hosts.
 
 pub mod answer_content;
 pub mod caller;
@@ -10,7 +11,7 @@
 pub mod load_report;
 pub mod load_run;
 pub mod packet_caller;
-pub mod packet_cell;
+pub mod packet_cluster;
 pub mod packet_soak;
 pub mod packet_store;
 pub mod packet_upstream;
--- a/standin/src/load_report.rs
+++ b/standin/src/load_report.rs
@@ -1,4 +1,4 @@
-//! What the load tool's callers received, held against what the upstreams counted.
+//! Reports the outcomes of a load run, and checks them against what the upstreams ran.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,124 +13,128 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-use crate::answer_content::AnswerIdentity;
+use crate::answer_content::RequestIdentity;
 use crate::run_records::RunRecords;
 use crate::upstream::RunReport;
 
-/// Significant digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// Exit code when nothing is broken.
-pub const EXIT_WHOLE: u8 = 0;
-/// Exit code when a request that may not run twice did.
+/// Exit code of a run without faults.
+pub const EXIT_SUCCESS: u8 = 0;
+/// Exit code when a request that is not idempotent ran more than once.
 pub const EXIT_DOUBLE_RUN: u8 = 10;
-/// Exit code when a caller was told 'not run' of a request that ran.
+/// Exit code when a request ran although its caller received 'not run'.
 pub const EXIT_FALSE_NOT_RUN: u8 = 11;
-/// Exit code when an answer, or a frame at an upstream, was for another.
+/// Exit code when an answer belonged to another request, or an upstream started a request that was
+/// addressed to another service, upstream or incarnation.
 pub const EXIT_FOREIGN: u8 = 12;
-/// Exit code when an answer was cut short.
+/// Exit code when an answer was truncated.
 pub const EXIT_TRUNCATED: u8 = 13;
-/// Exit code when a request got no outcome.
+/// Exit code when a request had no outcome.
 pub const EXIT_LOST: u8 = 14;
 /// Exit code when an established flow became unknown.
 pub const EXIT_BROKEN_FLOW: u8 = 15;
 
-/// How a job of the load tool ended.
+/// The result of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobResult {
-    /// The whole right answer.
+    /// The answer was complete and correct.
     Whole,
-    /// A beginning of the right answer.
+    /// The answer was a prefix of the correct one.
     Truncated,
-    /// Another's answer.
+    /// The answer belonged to another request.
     Foreign,
-    /// Not run, proved, until the deadline.
+    /// The last refusal before the deadline stated that the request was not run.
     Refused(ResultCode),
-    /// It ran, but its answer is gone.
+    /// The request ran, but its answer is lost.
     AnswerGone(ResultCode),
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the request ran.
     Unknown(ResultCode),
-    /// No outcome at all.
+    /// The caller received neither an answer nor a refusal.
     Lost,
 }
 
-/// One job of the load tool.
+/// A job that has ended.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
-    /// Index of its service in the settings.
+    /// Index of the job's service in the settings.
     pub service: usize,
-    /// How it ended.
+    /// The job's result.
     pub result: JobResult,
-    /// Time from the intended start to the end.
+    /// Time from the intended start to the end of the job.
     pub latency: Duration,
-    /// Attempts under further numbers after a refusal.
+    /// Attempts under new request numbers after a refusal.
     pub retries: u32,
-    /// The requests of which the caller was told that they did not run.
-    pub told_not_run: Vec<AnswerIdentity>,
-    /// The flow, if it was established and became unknown.
+    /// The requests that were reported to the caller as not run.
+    pub reported_not_run: Vec<RequestIdentity>,
+    /// The job's flow, if it was established and became unknown.
     pub broken_flow: Option<(SocketAddr, FlowId)>,
 }
 
-/// What the callers of one service received.
+/// Totals of the jobs of one service.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServiceTally {
-    /// The service.
+    /// Name of the service.
     pub name: SmolStr,
-    /// Jobs begun.
+    /// Jobs that have ended.
     pub jobs: u64,
-    /// Whole answers.
+    /// Complete and correct answers.
     pub whole: u64,
-    /// Answers cut short.
+    /// Truncated answers.
     pub truncated: u64,
     /// Answers that belong to another request.
     pub foreign: u64,
-    /// Jobs not run, as proved to the caller.
+    /// Jobs that were reported to the caller as not run.
     pub refused: u64,
-    /// Jobs that ran and whose answer is gone.
+    /// Jobs that ran and whose answer is lost.
     pub answer_gone: u64,
-    /// Jobs of which nobody can tell.
+    /// Jobs of which it is unknown whether they ran.
     pub unknown: u64,
     /// Jobs without an outcome.
     pub lost: u64,
     /// Attempts after refusals.
     pub retries: u64,
-    /// Last refusals, by the number of their code.
+    /// Number of jobs by the result code of their last refusal.
     pub codes: BTreeMap<u16, u64>,
-    /// Busiest upstream over the mean of the service's upstreams, by requests started.
+    /// Requests started by the busiest upstream, divided by the mean over the upstreams that
+    /// started any.
     pub imbalance: f64,
+    /// Latencies of complete answers in microseconds.
     #[serde(skip)]
     latencies: Histogram<u64>,
 }
 
-/// Latencies of whole answers in milliseconds from the intended start.
+/// Latencies of complete answers in milliseconds from the intended start.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LatencySummary {
-    /// Half are faster.
+    /// Median.
     pub p50_ms: f64,
-    /// Nine in ten are faster.
+    /// 90th percentile.
     pub p90_ms: f64,
-    /// 99 in 100 are faster.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The slowest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// The judgement of a run.
+/// The results of a load run and the faults found in it.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// By service.
+    /// Totals by service, in the order of the settings.
     pub services: Vec<ServiceTally>,
-    /// Requests that may not run twice and did.
+    /// Requests that are not idempotent and ran more than once.
     pub double_runs: u64,
-    /// Requests that ran though their caller was told they did not.
+    /// Requests that ran although they were reported to the caller as not run.
     pub false_not_run: u64,
-    /// Requests that an upstream of another service started.
+    /// Requests that an upstream started although they were addressed to another service, upstream
+    /// or incarnation.
     pub foreign_runs: u64,
     /// Established flows that became unknown.
     pub broken_flows: u64,
-    /// Flows whose requests ran on more than one upstream.
+    /// Flows whose requests were started by more than one upstream.
     pub moved_flows: u64,
     #[serde(skip)]
-    told_not_run: BTreeSet<AnswerIdentity>,
+    reported_not_run: BTreeSet<RequestIdentity>,
     #[serde(skip)]
     broken: BTreeSet<(SocketAddr, FlowId)>,
 }
@@ -155,13 +159,13 @@
         }
     }
 
-    /// Latencies of whole answers.
+    /// Returns percentiles of the latencies of complete answers.
     pub fn latency(&self) -> LatencySummary {
-        let at = |quantile| self.latencies.value_at_quantile(quantile) as f64 / 1_000.0;
+        let quantile_ms = |quantile| self.latencies.value_at_quantile(quantile) as f64 / 1_000.0;
         LatencySummary {
-            p50_ms: at(0.5),
-            p90_ms: at(0.9),
-            p99_ms: at(0.99),
+            p50_ms: quantile_ms(0.5),
+            p90_ms: quantile_ms(0.9),
+            p99_ms: quantile_ms(0.99),
             max_ms: self.latencies.max() as f64 / 1_000.0,
         }
     }
@@ -190,7 +194,7 @@
 }
 
 impl LoadReport {
-    /// An empty report on services by name.
+    /// Returns an empty report on the named services.
     pub fn new(services: impl IntoIterator<Item = SmolStr>) -> Self {
         Self {
             services: services.into_iter().map(ServiceTally::new).collect(),
@@ -199,49 +203,54 @@
             foreign_runs: 0,
             broken_flows: 0,
             moved_flows: 0,
-            told_not_run: BTreeSet::new(),
+            reported_not_run: BTreeSet::new(),
             broken: BTreeSet::new(),
         }
     }
 
-    /// Adds a job that has ended.
+    /// Adds a job to the totals.
     pub fn add(&mut self, job: &JobRecord) {
         if let Some(tally) = self.services.get_mut(job.service) {
             tally.add(job);
         }
-        self.told_not_run.extend(job.told_not_run.iter().copied());
+        self.reported_not_run
+            .extend(job.reported_not_run.iter().copied());
         self.broken.extend(job.broken_flow);
         self.broken_flows = self.broken.len() as u64;
     }
 
-    /// Holds what callers were told against what the upstreams ran; `services` are the addresses in
-    /// the order of the tallies, each report is one upstream's.
-    pub fn judge(&mut self, services: &[ServiceAddress], upstreams: &[RunReport]) {
+    /// Checks what callers received against what the upstreams ran.
+    ///
+    /// `services` are the services' addresses in the order of [`Self::services`]; `upstreams` has
+    /// one report per upstream.
+    pub fn verify(&mut self, services: &[ServiceAddress], upstreams: &[RunReport]) {
         let mut records = RunRecords::default();
         for report in upstreams {
             records.merge(report.totals, report.requests.iter().copied());
         }
         self.double_runs = records.double_runs().count() as u64;
         self.foreign_runs = records.foreign_runs().count() as u64;
-        let told = self.told_not_run.iter();
-        self.false_not_run = told.filter(|told| records.runs_of(told) > 0).count() as u64;
+        let reported = self.reported_not_run.iter();
+        self.false_not_run = reported
+            .filter(|reported| records.run_count(reported) > 0)
+            .count() as u64;
         self.moved_flows = count_moved_flows(upstreams);
         for (tally, address) in self.services.iter_mut().zip(services) {
             tally.imbalance = imbalance_of(*address, upstreams);
         }
     }
 
-    /// Jobs that have ended.
+    /// Returns the number of jobs that have ended.
     pub fn jobs(&self) -> u64 {
         self.services.iter().map(|tally| tally.jobs).sum()
     }
 
-    /// The sum of a figure over the services.
-    pub fn total(&self, figure: impl Fn(&ServiceTally) -> u64) -> u64 {
-        self.services.iter().map(figure).sum()
+    /// Returns the sum of a counter over the services.
+    pub fn total(&self, counter: impl Fn(&ServiceTally) -> u64) -> u64 {
+        self.services.iter().map(counter).sum()
     }
 
-    /// The exit code of the worst that was broken.
+    /// Returns the exit code of the most severe fault, [`EXIT_SUCCESS`] if there is none.
     pub fn exit_code(&self) -> u8 {
         let faults = [
             (self.double_runs, EXIT_DOUBLE_RUN),
@@ -255,7 +264,7 @@
             (self.broken_flows, EXIT_BROKEN_FLOW),
         ];
         let worst = faults.iter().find(|(count, _code)| *count > 0);
-        worst.map_or(EXIT_WHOLE, |(_count, code)| *code)
+        worst.map_or(EXIT_SUCCESS, |(_count, code)| *code)
     }
 }
 
@@ -316,20 +325,23 @@
 }
 
 fn count_moved_flows(upstreams: &[RunReport]) -> u64 {
-    let mut holders: BTreeMap<(ServiceAddress, SocketAddr, FlowId), BTreeSet<usize>> =
+    let mut upstreams_by_flow: BTreeMap<(ServiceAddress, SocketAddr, FlowId), BTreeSet<usize>> =
         BTreeMap::new();
     for (index, report) in upstreams.iter().enumerate() {
         for entry in &report.requests {
             let request = entry.request;
             let flow = (request.service, request.caller, request.flow);
-            holders.entry(flow).or_default().insert(index);
+            upstreams_by_flow.entry(flow).or_default().insert(index);
         }
     }
-    let moved = holders.values().filter(|holders| holders.len() > 1);
+    let moved = upstreams_by_flow
+        .values()
+        .filter(|upstreams_by_flow| upstreams_by_flow.len() > 1);
     moved.count() as u64
 }
 
-/// Upstreams count for a service when they started at least one request for it.
+/// Returns the number of requests started by the busiest upstream over the mean, zero if none was
+/// started. Upstreams that started no request for the service don't count.
 fn imbalance_of(service: ServiceAddress, upstreams: &[RunReport]) -> f64 {
     let runs_on = |report: &RunReport| -> u64 {
         let entries = report.requests.iter();
