--- a/standin/src/load_run.rs
+++ b/standin/src/load_run.rs
@@ -1,7 +1,8 @@
-//! The load tool: open-loop arrivals over held and short flows.
+//! Generates load: open-loop arrivals over long-lived and short flows.
 //!
-//! A job's latency counts from the time it was meant to begin, so that a stall of the system does
-//! not hide the jobs that would have arrived during it.
+//! A job is one unit of load: a request and its retries, each of which has a request number of its
+//! own. A job's latency counts from its intended start, so that a stall of the system shows in the
+//! latency of the jobs that arrive during it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,8 +26,8 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use crate::answer_content::AnswerVerdict;
-use crate::answer_content::JobOrder;
+use crate::answer_content::AnswerIntegrity;
+use crate::answer_content::PayloadSpec;
 use crate::caller::CallOutcome;
 use crate::caller::CallSpec;
 use crate::caller::Caller;
@@ -36,74 +37,74 @@
 use crate::load_report::JobResult;
 use crate::load_report::LoadReport;
 
-/// Bytes of payload beyond what states the job.
-const FILLER: usize = 100;
-/// Flow numbers from here on are those of short flows.
+/// Bytes of padding after the [`PayloadSpec`] of a payload.
+const PADDING_BYTES: usize = 100;
+/// Lowest flow number of short flows; those of long-lived flows are smaller.
 const FIRST_SHORT_FLOW: FlowId = 1 << 32;
 
-/// Load on one service.
+/// The load on one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceLoad {
-    /// Its name in the table.
+    /// The service's name in the printed table.
     pub name: SmolStr,
-    /// Where callers send to.
+    /// The service's address, which callers send to.
     pub address: ServiceAddress,
-    /// Its weight among the services.
+    /// Weight by which jobs are distributed over the services.
     pub weight: f64,
-    /// Share of requests that may run twice.
+    /// Share of requests that are idempotent, from 0 to 1.
     pub idempotent: f64,
-    /// Bytes of an answer.
+    /// Length of an answer in bytes.
     pub answer_len: u32,
-    /// Share of long requests.
+    /// Share of long requests, from 0 to 1.
     #[serde(default)]
     pub long_share: f64,
-    /// Milliseconds of work that a long request asks for.
+    /// Additional service time of a long request in milliseconds.
     #[serde(default)]
     pub long_ms: u64,
-    /// Share of requests that open a flow of their own and close it.
+    /// Share of requests that open a flow of their own and close it afterwards, from 0 to 1.
     #[serde(default)]
     pub short_flows: f64,
 }
 
-/// Settings of a run.
+/// Settings of a load run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadSettings {
-    /// Seed of arrivals and of what they are.
+    /// Seed of the arrival times and of the jobs' properties.
     pub seed: u64,
-    /// The availability zones that callers are near, in turn.
+    /// The availability zones over which callers are distributed in turn.
     pub zones: Vec<ZoneName>,
-    /// Callers, each with an address of its own.
+    /// Number of callers, each with an address of its own.
     pub callers: u32,
-    /// Flows that each caller holds to each service.
+    /// Number of long-lived flows from each caller to each service.
     pub flows: u64,
-    /// Jobs to begin.
+    /// Number of jobs to start.
     pub requests: u64,
-    /// Jobs begun a second, on average.
+    /// Mean number of jobs started per second.
     pub rate: f64,
-    /// Milliseconds that a caller waits for a job, retries included.
+    /// Timeout of a job in milliseconds, retries included.
     pub budget_ms: u64,
-    /// The services.
+    /// The load on each service.
     pub services: Vec<ServiceLoad>,
 }
 
-/// A flow that a caller holds.
-struct HeldFlow {
+/// A flow of a caller, with the request numbers that it has used.
+struct CallerFlow {
     service: usize,
     flow: FlowId,
     next_request: AtomicU64,
     broken: AtomicBool,
 }
 
-/// A caller with its flows.
+/// A caller with its long-lived flows.
 struct LoadCaller {
     caller: Caller,
-    flows: Vec<HeldFlow>,
+    flows: Vec<CallerFlow>,
     next_short_flow: AtomicU64,
 }
 
-/// One job before it begins.
+/// A job that has not started yet.
 #[derive(Clone, Copy, Debug)]
 struct JobPlan {
     service: usize,
@@ -111,12 +112,12 @@
     flow: usize,
     idempotent: bool,
     short_flow: bool,
-    order: JobOrder,
-    /// When it is meant to begin.
+    payload_spec: PayloadSpec,
+    /// Time at which the job is due to start.
     intended: Instant,
 }
 
-/// A load run whose callers are bound and whose flows are open.
+/// A load run whose callers are bound and whose long-lived flows are open.
 pub struct LoadRun {
     settings: Arc<LoadSettings>,
     callers: Arc<Vec<LoadCaller>>,
@@ -124,7 +125,7 @@
     ended: Arc<AtomicU64>,
 }
 
-/// How far a run has come; to be read while it goes on.
+/// Progress of a run, readable while it goes on.
 #[derive(Clone)]
 pub struct LoadProgress {
     begun: Arc<AtomicU64>,
@@ -132,17 +133,17 @@
 }
 
 impl LoadProgress {
-    /// Jobs begun.
+    /// Returns the number of jobs started.
     pub fn begun(&self) -> u64 {
         self.begun.load(Ordering::Relaxed)
     }
 
-    /// Jobs that have ended.
+    /// Returns the number of jobs that have ended.
     pub fn ended(&self) -> u64 {
         self.ended.load(Ordering::Relaxed)
     }
 
-    /// Waits until this many jobs have ended.
+    /// Waits until at least `jobs` jobs have ended.
     pub async fn wait_for_ended(&self, jobs: u64) {
         while self.ended() < jobs {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -151,7 +152,8 @@
 }
 
 impl LoadRun {
-    /// Binds the callers and opens the flows that they hold; an error if one cannot be opened.
+    /// Binds the callers and opens their long-lived flows; returns an error if a flow cannot be
+    /// opened.
     pub async fn open(settings: LoadSettings, fabric: &Fabric) -> std::io::Result<Self> {
         let settings = Arc::new(settings);
         let mut opening = JoinSet::new();
@@ -173,7 +175,7 @@
         })
     }
 
-    /// How far the run has come.
+    /// Returns a handle on the progress of the run.
     pub fn progress(&self) -> LoadProgress {
         LoadProgress {
             begun: Arc::clone(&self.begun),
@@ -181,29 +183,29 @@
         }
     }
 
-    /// Begins every job at its time and waits for all of them.
+    /// Starts every job at its intended time and waits for all of them.
     pub async fn run(self) -> LoadReport {
         let names = self.settings.services.iter().map(|load| load.name.clone());
         let mut report = LoadReport::new(names);
         let (sender, mut records) = mpsc::unbounded_channel();
-        let arrivals = tokio::spawn(self.begin_jobs(sender));
+        let arrivals = tokio::spawn(self.start_jobs(sender));
         while let Some(record) = records.recv().await {
             report.add(&record);
         }
         if let Err(error) = arrivals.await {
-            log::error!("arrivals ended: {error}");
+            log::error!("the task that starts jobs failed: {error}");
         }
         report
     }
 
-    async fn begin_jobs(self, sender: mpsc::UnboundedSender<JobRecord>) {
+    async fn start_jobs(self, sender: mpsc::UnboundedSender<JobRecord>) {
         let mut random = StdRng::seed_from_u64(self.settings.seed);
         let mut intended = Instant::now();
         for _job in 0..self.settings.requests {
             let gap = -(1.0 - random.random::<f64>()).ln() / self.settings.rate;
             intended += Duration::from_secs_f64(gap);
             tokio::time::sleep_until(intended.into()).await;
-            let plan = self.plan(&mut random, intended);
+            let plan = self.plan_job(&mut random, intended);
             self.begun.fetch_add(1, Ordering::Relaxed);
             let settings = Arc::clone(&self.settings);
             let callers = Arc::clone(&self.callers);
@@ -211,13 +213,13 @@
             let sender = sender.clone();
             tokio::spawn(async move {
                 let record = run_job(&settings, &callers[plan.caller], plan).await;
-                let _report_gone = sender.send(record);
+                let _receiver_dropped = sender.send(record);
                 ended.fetch_add(1, Ordering::Relaxed);
             });
         }
     }
 
-    fn plan(&self, random: &mut StdRng, intended: Instant) -> JobPlan {
+    fn plan_job(&self, random: &mut StdRng, intended: Instant) -> JobPlan {
         let services = &self.settings.services;
         let weights: f64 = services.iter().map(|load| load.weight).sum();
         let mut drawn = random.random::<f64>() * weights;
@@ -236,7 +238,7 @@
             flow: first_flow + random.random_range(0..self.settings.flows as usize),
             idempotent: random.random::<f64>() < load.idempotent,
             short_flow: random.random::<f64>() < load.short_flows,
-            order: JobOrder {
+            payload_spec: PayloadSpec {
                 answer_len: load.answer_len,
                 work: Duration::from_millis(work),
             },
@@ -253,10 +255,10 @@
             let flow = service as u64 * settings.flows + number + 1;
             let opened = caller.open(load.address, flow, deadline).await;
             if let Err(refusal) = opened {
-                let reason = format!("cannot open a flow to {}: {refusal:?}", load.name);
+                let reason = format!("cannot open a flow to service {}: {refusal:?}", load.name);
                 return Err(std::io::Error::other(reason));
             }
-            flows.push(HeldFlow {
+            flows.push(CallerFlow {
                 service,
                 flow,
                 next_request: AtomicU64::new(1),
@@ -275,10 +277,10 @@
     let deadline = plan.intended + Duration::from_millis(settings.budget_ms);
     if !plan.short_flow {
         let flow = &caller.flows[plan.flow];
-        return call_on(settings, caller, flow, plan, deadline).await;
+        return call_with_retries(settings, caller, flow, plan, deadline).await;
     }
     let address = settings.services[plan.service].address;
-    let flow = HeldFlow {
+    let flow = CallerFlow {
         service: plan.service,
         flow: caller.next_short_flow.fetch_add(1, Ordering::Relaxed),
         next_request: AtomicU64::new(1),
@@ -291,20 +293,23 @@
             result,
             latency: plan.intended.elapsed(),
             retries: 0,
-            told_not_run: Vec::new(),
+            reported_not_run: Vec::new(),
             broken_flow: None,
         };
     }
-    let record = call_on(settings, caller, &flow, plan, deadline).await;
+    let record = call_with_retries(settings, caller, &flow, plan, deadline).await;
     caller.caller.close(address, flow.flow).await;
     record
 }
 
-/// Calls until an outcome other than a refusal, coming back under a further number when told to.
-async fn call_on(
+/// Sends a job's request until it has an outcome other than a refusal, under a new request number
+/// after each refusal.
+///
+/// A request that ran, or may have run, is repeated only if it is idempotent.
+async fn call_with_retries(
     settings: &LoadSettings,
     caller: &LoadCaller,
-    flow: &HeldFlow,
+    flow: &CallerFlow,
     plan: JobPlan,
     deadline: Instant,
 ) -> JobRecord {
@@ -313,7 +318,7 @@
         result: JobResult::Lost,
         latency: Duration::ZERO,
         retries: 0,
-        told_not_run: Vec::new(),
+        reported_not_run: Vec::new(),
         broken_flow: None,
     };
     loop {
@@ -322,21 +327,21 @@
             flow: flow.flow,
             request: flow.next_request.fetch_add(1, Ordering::Relaxed),
             idempotent: plan.idempotent,
-            payload: plan.order.payload(FILLER),
+            payload: plan.payload_spec.payload(PADDING_BYTES),
             deadline,
         };
         let outcome = caller.caller.call(&call).await;
-        record.result = result_of(&outcome);
+        record.result = job_result(&outcome);
         let CallOutcome::Refused(refusal) = outcome else {
             break;
         };
         if refusal.code == ResultCode::FlowUnknown {
             flow.broken.store(true, Ordering::Relaxed);
             record.broken_flow = Some((caller.caller.address(), flow.flow));
-            let _refused_again = caller.caller.open(call.service, flow.flow, deadline).await;
+            let _refused = caller.caller.open(call.service, flow.flow, deadline).await;
         }
         if refusal.outcome == RunOutcome::NotRun {
-            record.told_not_run.push(caller.caller.identity(&call));
+            record.reported_not_run.push(caller.caller.identity(&call));
         }
         let may_repeat = match refusal.outcome {
             RunOutcome::NotRun => true,
@@ -353,11 +358,11 @@
     record
 }
 
-fn result_of(outcome: &CallOutcome) -> JobResult {
+fn job_result(outcome: &CallOutcome) -> JobResult {
     match outcome {
-        CallOutcome::Answered(AnswerVerdict::Whole) => JobResult::Whole,
-        CallOutcome::Answered(AnswerVerdict::Truncated) => JobResult::Truncated,
-        CallOutcome::Answered(AnswerVerdict::Foreign) => JobResult::Foreign,
+        CallOutcome::Answered(AnswerIntegrity::Whole) => JobResult::Whole,
+        CallOutcome::Answered(AnswerIntegrity::Truncated) => JobResult::Truncated,
+        CallOutcome::Answered(AnswerIntegrity::Foreign) => JobResult::Foreign,
         CallOutcome::TimedOut => JobResult::Lost,
         CallOutcome::Refused(refusal) => match refusal.outcome {
             RunOutcome::NotRun => JobResult::Refused(refusal.code),
@@ -367,13 +372,13 @@
     }
 }
 
-/// The demonstration's load on the ledger and on certdocs.
+/// Returns the demonstration's load on the ledger and certdocs services.
 pub fn demo_load(
     services: &BTreeMap<SmolStr, ServiceAddress>,
     zones: &[&str],
     requests: u64,
 ) -> LoadSettings {
-    let load_of = |name: &str, weight, idempotent, answer_len| ServiceLoad {
+    let service_load = |name: &str, weight, idempotent, answer_len| ServiceLoad {
         name: name.into(),
         address: services[name],
         weight,
@@ -392,8 +397,8 @@
         rate: 1_000.0,
         budget_ms: 10_000,
         services: vec![
-            load_of("ledger", 3.0, 0.5, 2_500),
-            load_of("certdocs", 1.0, 1.0, 9_000),
+            service_load("ledger", 3.0, 0.5, 2_500),
+            service_load("certdocs", 1.0, 1.0, 9_000),
         ],
     }
 }
--- a/standin/src/packet_caller.rs
+++ b/standin/src/packet_caller.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks packets, and the fabric that sprays them over entry hosts.
+//! A caller for packets, and the fabric that distributes its packets over entry hosts.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -18,56 +18,58 @@
 use crate::packet_wire::SYN;
 use crate::packet_wire::WirePacket;
 
-/// When copies of an opening packet are sent, and when the caller gives up.
-const OPENING_TIMES: [Duration; 4] = [
+/// Times of a SYN and its retransmissions since the first. The last entry is the timeout of the
+/// opening.
+const SYN_TIMES: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(200),
     Duration::from_millis(600),
     Duration::from_millis(1400),
 ];
 
-/// Pause before a request is sent again; doubled each time, up to the longest.
-const FIRST_REPEAT: Duration = Duration::from_millis(200);
-const LONGEST_REPEAT: Duration = Duration::from_millis(1600);
+/// Delay before the first retransmission of a request. It doubles each time, up to the maximum.
+const FIRST_RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
+const MAX_RETRANSMISSION_DELAY: Duration = Duration::from_millis(1600);
 
-/// How often the fabric asks hosts whether they are ready, and the misses after which it lets go.
-const READY_PAUSE: Duration = Duration::from_millis(500);
-const READY_MISSES: u32 = 2;
+/// Interval of readiness checks, and the consecutive failures that take a host out of rotation.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(500);
+const READY_FAILURE_THRESHOLD: u32 = 2;
 
-/// The hosts over which packets are sprayed, by rendezvous hash of the flow.
+/// The fabric: distributes flows over the hosts in rotation by rendezvous hashing.
 #[derive(Clone, Debug, Default)]
 pub struct PacketFabric {
     rotation: Arc<Mutex<HashSet<SocketAddrV4>>>,
 }
 
 impl PacketFabric {
-    /// Follows a host's readiness for as long as the task lives.
-    pub fn follow(&self, packets: SocketAddrV4, ready: SocketAddrV4) {
+    /// Starts a task that checks a host's readiness at `ready_address` and puts the host into or
+    /// out of rotation. A host is out of rotation until its first successful check.
+    pub fn watch_readiness(&self, packet_address: SocketAddrV4, ready_address: SocketAddrV4) {
         let fabric = self.clone();
         tokio::spawn(async move {
-            let url = format!("http://{ready}/v1/ready");
-            let mut misses = READY_MISSES;
+            let url = format!("http://{ready_address}/v1/ready");
+            let mut failures = READY_FAILURE_THRESHOLD;
             loop {
-                let answer = reqwest::get(&url).await;
-                let is_ready = answer.is_ok_and(|answer| answer.status().is_success());
-                misses = if is_ready { 0 } else { misses + 1 };
-                fabric.set(packets, misses < READY_MISSES);
-                tokio::time::sleep(READY_PAUSE).await;
+                let response = reqwest::get(&url).await;
+                let is_ready = response.is_ok_and(|response| response.status().is_success());
+                failures = if is_ready { 0 } else { failures + 1 };
+                fabric.set_in_rotation(packet_address, failures < READY_FAILURE_THRESHOLD);
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         });
     }
 
-    /// Takes a host into the rotation or out of it.
-    pub fn set(&self, packets: SocketAddrV4, used: bool) {
+    /// Puts a host into or out of rotation.
+    pub fn set_in_rotation(&self, packet_address: SocketAddrV4, in_rotation: bool) {
         let mut rotation = self.rotation.lock().unwrap_or_else(PoisonError::into_inner);
-        if used {
-            rotation.insert(packets);
+        if in_rotation {
+            rotation.insert(packet_address);
         } else {
-            rotation.remove(&packets);
+            rotation.remove(&packet_address);
         }
     }
 
-    /// How many hosts get packets.
+    /// Returns the number of hosts in rotation.
     pub fn hosts(&self) -> usize {
         self.rotation
             .lock()
@@ -75,24 +77,24 @@
             .len()
     }
 
-    /// The host that gets a flow's packets.
-    pub fn host(&self, flow: (SocketAddrV4, SocketAddrV4)) -> Option<SocketAddrV4> {
+    /// Returns the host that gets a flow's packets, or `None` if no host is in rotation.
+    pub fn select_host(&self, flow: (SocketAddrV4, SocketAddrV4)) -> Option<SocketAddrV4> {
         let rotation = self.rotation.lock().unwrap_or_else(PoisonError::into_inner);
         let weight = |host: &SocketAddrV4| xxh3_64(format!("{flow:?}{host}").as_bytes());
         rotation.iter().copied().max_by_key(weight)
     }
 }
 
-/// Why a caller got nothing.
+/// Why a flow could not be opened or a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallFault {
+pub enum CallError {
     /// The flow was reset.
     Reset,
-    /// No answer in time.
-    Silence,
+    /// No response within the timeout.
+    Timeout,
 }
 
-/// A caller on an IP number of its own.
+/// A caller with an IP address of its own. All its flows share one UDP socket.
 #[derive(Debug)]
 pub struct PacketCaller {
     socket: UdpSocket,
@@ -101,7 +103,7 @@
     next_port: u16,
 }
 
-/// One flow of a caller.
+/// Caller's end of a flow.
 #[derive(Clone, Debug)]
 pub struct CallerFlow {
     source: SocketAddrV4,
@@ -112,7 +114,8 @@
 }
 
 impl PacketCaller {
-    /// A caller at an address whose port is that at which hosts and upstreams answer callers.
+    /// Binds a caller. The port of `address` must be the one to which hosts and upstreams send
+    /// packets for callers.
     pub async fn bind(address: SocketAddrV4, fabric: PacketFabric) -> std::io::Result<Self> {
         Ok(Self {
             socket: UdpSocket::bind(address).await?,
@@ -122,24 +125,24 @@
         })
     }
 
-    /// Opens a flow to a service.
-    pub async fn open(&mut self, service: SocketAddrV4) -> Result<CallerFlow, CallFault> {
+    /// Opens a flow to a service, with retransmissions of the SYN.
+    pub async fn open(&mut self, service: SocketAddrV4) -> Result<CallerFlow, CallError> {
         self.next_port += 1;
         let source = SocketAddrV4::new(*self.address.ip(), self.next_port);
         let started = Instant::now();
-        let mut opening = WirePacket::bare(source, service, SYN);
-        for copy in 0..3 {
-            opening.ack = copy as u32;
-            self.send(&opening).await;
-            let until = started + OPENING_TIMES[copy + 1];
+        let mut syn = WirePacket::bare(source, service, SYN);
+        for attempt in 0..3 {
+            syn.ack = attempt as u32;
+            self.send(&syn).await;
+            let deadline = started + SYN_TIMES[attempt + 1];
             let Some(packet) = self
-                .receive(source, until, |packet| packet.flags & (SYN | RST) != 0)
+                .receive(source, deadline, |packet| packet.flags & (SYN | RST) != 0)
                 .await
             else {
                 continue;
             };
             if packet.flags & RST != 0 {
-                return Err(CallFault::Reset);
+                return Err(CallError::Reset);
             }
             let flow = CallerFlow {
                 source,
@@ -151,66 +154,67 @@
             self.send(&flow.packet(ACK, &[])).await;
             return Ok(flow);
         }
-        Err(CallFault::Silence)
+        Err(CallError::Timeout)
     }
 
-    /// Sends a request on a flow and waits for its answer, sending again as long as `limit` allows.
+    /// Sends a request on a flow and returns its response. Retransmits the request until `timeout`.
     pub async fn request(
         &mut self,
         flow: &mut CallerFlow,
         data: &[u8],
-        limit: Duration,
-    ) -> Result<Vec<u8>, CallFault> {
-        let end = Instant::now() + limit;
-        let mut pause = FIRST_REPEAT;
+        timeout: Duration,
+    ) -> Result<Vec<u8>, CallError> {
+        let end = Instant::now() + timeout;
+        let mut delay = FIRST_RETRANSMISSION_DELAY;
         let packet = flow.packet(ACK, data);
         while Instant::now() < end {
             self.send(&packet).await;
-            let until = end.min(Instant::now() + pause);
-            pause = LONGEST_REPEAT.min(pause * 2);
+            let deadline = end.min(Instant::now() + delay);
+            delay = MAX_RETRANSMISSION_DELAY.min(delay * 2);
             let (source, ack) = (flow.source, flow.ack);
-            let wanted = |packet: &WirePacket| {
+            let is_expected = |packet: &WirePacket| {
                 packet.flags & RST != 0 || (!packet.data.is_empty() && packet.seq == ack)
             };
-            let Some(answer) = self.receive(source, until, wanted).await else {
+            let Some(response) = self.receive(source, deadline, is_expected).await else {
                 continue;
             };
-            if answer.flags & RST != 0 {
-                return Err(CallFault::Reset);
+            if response.flags & RST != 0 {
+                return Err(CallError::Reset);
             }
             flow.seq = flow.seq.wrapping_add(data.len() as u32);
-            flow.ack = flow.ack.wrapping_add(answer.data.len() as u32);
-            flow.echo = answer.echo;
+            flow.ack = flow.ack.wrapping_add(response.data.len() as u32);
+            flow.echo = response.echo;
             self.send(&flow.packet(ACK, &[])).await;
-            return Ok(answer.data);
+            return Ok(response.data);
         }
-        Err(CallFault::Silence)
+        Err(CallError::Timeout)
     }
 
-    /// Ends a flow.
+    /// Closes a flow by a FIN, without waiting for a response.
     pub async fn close(&mut self, flow: &CallerFlow) {
         self.send(&flow.packet(ACK | FIN, &[])).await;
     }
 
     async fn send(&self, packet: &WirePacket) {
-        if let Some(host) = self.fabric.host((packet.source, packet.target)) {
+        if let Some(host) = self.fabric.select_host((packet.source, packet.target)) {
             let _sent = self.socket.send_to(&packet.encode(), host).await;
         }
     }
 
-    /// The next packet of a flow that is wanted, if one comes until then.
+    /// Returns the next packet to `source` for which `is_expected` holds, or `None` at the
+    /// deadline. Other packets are dropped.
     async fn receive(
         &self,
         source: SocketAddrV4,
-        until: Instant,
-        wanted: impl Fn(&WirePacket) -> bool,
+        deadline: Instant,
+        is_expected: impl Fn(&WirePacket) -> bool,
     ) -> Option<WirePacket> {
         let mut buffer = [0; 2048];
         loop {
-            let received = timeout_at(until, self.socket.recv_from(&mut buffer)).await;
+            let received = timeout_at(deadline, self.socket.recv_from(&mut buffer)).await;
             let (length, _from) = received.ok()?.ok()?;
             let packet = WirePacket::decode(&buffer[..length])?;
-            if packet.target == source && wanted(&packet) {
+            if packet.target == source && is_expected(&packet) {
                 return Some(packet);
             }
         }
@@ -218,7 +222,7 @@
 }
 
 impl CallerFlow {
-    /// The address that was asked for.
+    /// Returns the address of the service.
     pub fn service(&self) -> SocketAddrV4 {
         self.service
     }
--- a/standin/src/packet_soak.rs
+++ b/standin/src/packet_soak.rs
@@ -1,11 +1,14 @@
-//! A randomised soak of `lagoon-packet`: real processes, faults from outside, and the promises
-//! checked from what callers and upstreams see.
+//! Randomised soak test of `lagoon-packet`: runs real processes, injects faults and checks
+//! invariants from the view of callers and upstreams.
 //!
-//! A seed decides which faults strike when; they come in series and overlap. Checked all the while:
-//! every answer is whole, of the service that was asked, and a flow's answers all come from one
-//! upstream; no flow is reset while its upstream lives undisturbed; no upstream gets a foreign or
-//! changed packet; no process ends by itself; when the faults are over everybody is served, and neither a
-//! drained upstream nor an evacuated zone gets new flows once that had time to spread.
+//! A seed decides the faults and their times; faults may overlap. The invariants:
+//! - Every response is complete and from an upstream of the requested service. All responses of a
+//!   flow come from one upstream.
+//! - No flow is reset unless a fault has recently affected its upstream.
+//! - No upstream receives a modified packet, or one for another upstream or service.
+//! - No process exits by itself.
+//! - After the faults all requests are served. Once the change has had time to propagate, neither a
+//!   draining upstream nor an evacuated zone gets new flows.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -24,70 +27,71 @@
 use rand::rngs::StdRng;
 use tokio::time::sleep;
 
-use crate::packet_caller::CallFault;
+use crate::packet_caller::CallError;
 use crate::packet_caller::CallerFlow;
 use crate::packet_caller::PacketCaller;
-use crate::packet_cell::PacketCell;
-use crate::packet_cell::REQUEST_LIMIT;
-use crate::packet_cell::certs;
-use crate::packet_cell::ledger;
-use crate::packet_cell::registration_key;
-use crate::packet_store::StoreCopy;
-use crate::packet_store::StoreMood;
+use crate::packet_cluster::PacketCluster;
+use crate::packet_cluster::REQUEST_TIMEOUT;
+use crate::packet_cluster::certs;
+use crate::packet_cluster::ledger;
+use crate::packet_cluster::registration_key;
+use crate::packet_store::StoreBackup;
+use crate::packet_store::StoreBehaviour;
 use crate::packet_upstream::PacketUpstream;
-use crate::packet_upstream::answer_to;
+use crate::packet_upstream::response_to;
 
 const HOSTS: u8 = 4;
 const LEDGER_UPSTREAMS: u8 = 6;
 const CERT_UPSTREAMS: u8 = 2;
-/// Places of the ledger's upstreams that are in the zone without hosts.
+/// Indices of the ledger's upstreams in the remote zone, which has no hosts.
 const REMOTE_UPSTREAMS: Range<usize> = 4..6;
 const CALLERS: usize = 8;
-/// Separate the random numbers of evacuations, and of returns of the store, from those of other faults.
+/// XORed with the seed to separate the random numbers of evacuations and of restores from those of
+/// other faults.
 const EVACUATION_STREAM: u64 = 0x6576_6163;
 const RESTORE_STREAM: u64 = 0x7265_7374;
 
-/// How long after a return of the store its writers write again.
-const WRITE_AGAIN_PAUSE: Duration = Duration::from_millis(300);
+/// Delay from a restore of the store until its clients repeat the lost writes.
+const REWRITE_DELAY: Duration = Duration::from_millis(300);
 
-/// How long after a disturbance of an upstream a reset of its flows is allowed.
-const STABLE_WINDOW: Duration = Duration::from_secs(4);
+/// Time after a fault of an upstream within which its flows may be reset.
+const RESET_WINDOW: Duration = Duration::from_secs(4);
 
-/// How long a drain may take to be known everywhere while nobody is disturbed.
-const DRAIN_LIMIT: Duration = Duration::from_secs(3);
+/// Time within which a drain or an evacuation reaches all hosts while there are no faults.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Quiet time at the end before everybody has to be served again.
-const RECOVERY: Duration = Duration::from_secs(6);
+/// Time without faults at the end of a run, after which all requests must be served again.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
-/// What to run.
+/// Settings of a soak run.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSettings {
-    /// Decides the faults.
+    /// Seed of the faults and of the callers.
     pub seed: u64,
-    /// How long faults strike.
+    /// Time during which new faults begin.
     pub faults: Duration,
 }
 
-/// What a run saw.
+/// Result of a soak run.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// Requests that were answered.
+    /// Requests with a response.
     pub answered: u64,
-    /// Requests and flows that failed, which faults allow.
+    /// Requests and SYNs that failed. Faults may cause failures, so they break no invariant.
     pub failed: u64,
-    /// The faults, with the second at which each began.
+    /// Injected faults, with the second at which each began.
     pub faults: Vec<String>,
-    /// Promises that were broken; empty if the run passed.
+    /// Violated invariants; empty if the run passed.
     pub broken: Vec<String>,
 }
 
-/// What callers and the plan of faults share.
+/// State shared by the callers and the fault injection.
 struct SoakState {
     started: Instant,
     report: Mutex<SoakReport>,
-    /// When each upstream was last disturbed, by its number.
-    disturbed: Mutex<BTreeMap<u64, Instant>>,
-    over: AtomicBool,
+    /// Time of the last fault of each upstream, by its number.
+    last_upstream_fault: Mutex<BTreeMap<u64, Instant>>,
+    finished: AtomicBool,
 }
 
 impl SoakState {
@@ -95,120 +99,129 @@
         self.report.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn broken(&self, what: &str) {
+    fn record_violation(&self, description: &str) {
         let second = self.started.elapsed().as_secs_f64();
-        self.report().broken.push(format!("{second:.1} s: {what}"));
+        self.report()
+            .broken
+            .push(format!("{second:.1} s: {description}"));
     }
 
-    fn note_fault(&self, fault: SoakFault, held: Duration) {
+    fn record_fault(&self, fault: SoakFault, duration: Duration) {
         let second = self.started.elapsed().as_secs_f64();
-        let line = format!("{second:.1} s: {fault:?} for {held:?}");
+        let line = format!("{second:.1} s: {fault:?} for {duration:?}");
         self.report().faults.push(line);
     }
 
-    fn note_restore(&self, lost: usize) {
+    fn record_restore(&self, lost: usize) {
         let second = self.started.elapsed().as_secs_f64();
-        let line = format!("{second:.1} s: the store comes back from a copy, {lost} writes lost");
+        let line = format!("{second:.1} s: store restored from a backup, {lost} writes lost");
         self.report().faults.push(line);
     }
 
-    fn disturb(&self, upstream: u64) {
-        let mut disturbed = self
-            .disturbed
+    fn record_upstream_fault(&self, upstream: u64) {
+        let mut last_upstream_fault = self
+            .last_upstream_fault
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        disturbed.insert(upstream, Instant::now());
+        last_upstream_fault.insert(upstream, Instant::now());
     }
 
     fn is_stable(&self, upstream: u64) -> bool {
-        let disturbed = self
-            .disturbed
+        let last_upstream_fault = self
+            .last_upstream_fault
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        disturbed
+        last_upstream_fault
             .get(&upstream)
-            .is_none_or(|at| at.elapsed() > STABLE_WINDOW)
+            .is_none_or(|time| time.elapsed() > RESET_WINDOW)
     }
 }
 
-/// Runs the soak with one seed.
+/// Runs the soak with one seed. `program` is the path of `lagoon-packet`.
 pub async fn run_soak(program: &Path, settings: SoakSettings) -> SoakReport {
-    let mut cell = PacketCell::ready(program, HOSTS, LEDGER_UPSTREAMS).await;
+    let mut cluster = PacketCluster::ready(program, HOSTS, LEDGER_UPSTREAMS).await;
     for index in REMOTE_UPSTREAMS {
-        cell.move_upstream(index);
+        cluster.move_to_remote_zone(index);
     }
-    for place in 1..=CERT_UPSTREAMS {
-        let number = LEDGER_UPSTREAMS + place;
-        let upstream = cell.start_upstream(number, number).await;
-        cell.register(&upstream, "certs", "ready");
-        cell.upstreams.push(upstream);
+    for address_index in 1..=CERT_UPSTREAMS {
+        let number = LEDGER_UPSTREAMS + address_index;
+        let upstream = cluster.start_upstream(number, number).await;
+        cluster.register(&upstream, "certs", "ready");
+        cluster.upstreams.push(upstream);
     }
     let state = Arc::new(SoakState {
         started: Instant::now(),
         report: Mutex::default(),
-        disturbed: Mutex::default(),
-        over: AtomicBool::new(false),
+        last_upstream_fault: Mutex::default(),
+        finished: AtomicBool::new(false),
     });
     let mut callers = Vec::new();
     for index in 0..CALLERS {
         let rng = StdRng::seed_from_u64(settings.seed * 1000 + index as u64);
-        let caller = cell.caller().await;
-        callers.push(tokio::spawn(call(state.clone(), caller, rng)));
+        let caller = cluster.caller().await;
+        callers.push(tokio::spawn(run_caller(state.clone(), caller, rng)));
     }
-    strike(&mut cell, &state, settings).await;
-    sleep(RECOVERY).await;
-    state.over.store(true, Ordering::Relaxed);
+    inject_faults(&mut cluster, &state, settings).await;
+    sleep(RECOVERY_TIME).await;
+    state.finished.store(true, Ordering::Relaxed);
     for caller in callers {
         if let Err(error) = caller.await {
-            state.broken(&format!("a caller ended: {error}"));
+            state.record_violation(&format!("a caller task failed: {error}"));
         }
     }
-    check_upstreams(&cell, &state);
-    check_recovery(&mut cell, &state).await;
+    check_upstreams(&cluster, &state);
+    check_recovery(&mut cluster, &state).await;
     state.report().clone()
 }
 
-/// Opens flows and sends requests until the run is over.
-async fn call(state: Arc<SoakState>, mut caller: PacketCaller, mut rng: StdRng) {
-    while !state.over.load(Ordering::Relaxed) {
+/// Opens flows and sends requests on them until the run is over.
+async fn run_caller(state: Arc<SoakState>, mut caller: PacketCaller, mut rng: StdRng) {
+    while !state.finished.load(Ordering::Relaxed) {
         let service = if rng.random_bool(0.8) {
             ledger()
         } else {
             certs()
         };
         match caller.open(service).await {
-            Ok(mut flow) => use_flow(&state, &mut caller, &mut flow, &mut rng).await,
+            Ok(mut flow) => send_requests(&state, &mut caller, &mut flow, &mut rng).await,
             Err(_fault) => state.report().failed += 1,
         }
     }
 }
 
-/// Sends some requests on a flow, with pauses; idle flows are used again late.
-async fn use_flow(
+/// Sends up to 11 requests on a flow with pauses, some of which are long enough that the flow is
+/// idle, and checks the responses.
+async fn send_requests(
     state: &SoakState,
     caller: &mut PacketCaller,
     flow: &mut CallerFlow,
     rng: &mut StdRng,
 ) {
-    let mut owner = None;
-    for turn in 0..rng.random_range(1..12) {
-        let data = format!("{} {turn} {}", flow.service(), rng.random::<u32>());
-        let limit = REQUEST_LIMIT.min(Duration::from_secs(3));
-        match caller.request(flow, data.as_bytes(), limit).await {
-            Ok(answer) => {
+    let mut upstream = None;
+    for request_index in 0..rng.random_range(1..12) {
+        let data = format!("{} {request_index} {}", flow.service(), rng.random::<u32>());
+        let timeout = REQUEST_TIMEOUT.min(Duration::from_secs(3));
+        match caller.request(flow, data.as_bytes(), timeout).await {
+            Ok(response) => {
                 state.report().answered += 1;
-                let from = answered_by(flow, data.as_bytes(), &answer);
-                if from.is_none() || owner.is_some_and(|owner| Some(owner) != from) {
-                    let text = String::from_utf8_lossy(&answer).into_owned();
-                    state.broken(&format!("asked `{data}` of {owner:?}, got `{text}`"));
+                let responder = find_responder(flow, data.as_bytes(), &response);
+                if responder.is_none()
+                    || upstream.is_some_and(|upstream| Some(upstream) != responder)
+                {
+                    let text = String::from_utf8_lossy(&response).into_owned();
+                    state.record_violation(&format!(
+                        "request `{data}` on a flow of upstream {upstream:?}: response `{text}`"
+                    ));
                 }
-                owner = from;
+                upstream = responder;
             }
             Err(fault) => {
                 state.report().failed += 1;
-                let stable = owner.is_some_and(|owner| state.is_stable(owner));
-                if fault == CallFault::Reset && stable {
-                    state.broken(&format!("a flow of {owner:?} was reset while it lives"));
+                let is_stable = upstream.is_some_and(|upstream| state.is_stable(upstream));
+                if fault == CallError::Reset && is_stable {
+                    state.record_violation(&format!(
+                        "a flow was reset while its upstream {upstream:?} was stable"
+                    ));
                 }
                 return;
             }
@@ -223,94 +236,95 @@
     caller.close(flow).await;
 }
 
-/// The upstream that gave an answer, if it is one of the service and the answer is whole.
-fn answered_by(flow: &CallerFlow, data: &[u8], answer: &[u8]) -> Option<u64> {
+/// Returns the upstream that sent a response, or `None` if the response is incomplete or not of an
+/// upstream of the flow's service.
+fn find_responder(flow: &CallerFlow, data: &[u8], response: &[u8]) -> Option<u64> {
     let is_ledger = flow.service() == ledger();
     (1..=u64::from(LEDGER_UPSTREAMS + CERT_UPSTREAMS))
         .filter(|number| (*number <= u64::from(LEDGER_UPSTREAMS)) == is_ledger)
-        .find(|number| answer == answer_to(data, *number))
+        .find(|number| response == response_to(data, *number))
 }
 
-/// Lets faults strike, in series and overlapping, and takes them back.
-async fn strike(cell: &mut PacketCell, state: &SoakState, settings: SoakSettings) {
+/// Injects faults at random times and reverts each after its duration.
+async fn inject_faults(cluster: &mut PacketCluster, state: &SoakState, settings: SoakSettings) {
     let mut rng = StdRng::seed_from_u64(settings.seed);
-    // Apart from the other faults, so that those of a seed stay the same.
+    // Separate generators, so that evacuations and restores do not change a seed's other faults.
     let mut evacuation_rng = StdRng::seed_from_u64(settings.seed ^ EVACUATION_STREAM);
     let mut restore_rng = StdRng::seed_from_u64(settings.seed ^ RESTORE_STREAM);
-    let mut copy: Option<(Instant, StoreCopy)> = None;
+    let mut backup: Option<(Instant, StoreBackup)> = None;
     let end = Instant::now() + settings.faults;
-    let mut undo: Vec<(Instant, SoakFault)> = Vec::new();
-    while Instant::now() < end || !undo.is_empty() {
+    let mut active: Vec<(Instant, SoakFault)> = Vec::new();
+    while Instant::now() < end || !active.is_empty() {
         let now = Instant::now();
-        let due: Vec<SoakFault> = undo
-            .extract_if(.., |(at, _fault)| *at <= now)
-            .map(|(_at, fault)| fault)
+        let expired: Vec<SoakFault> = active
+            .extract_if(.., |(time, _fault)| *time <= now)
+            .map(|(_time, fault)| fault)
             .collect();
-        for fault in due {
-            fault.take_back(cell, state).await;
+        for fault in expired {
+            fault.revert(cluster, state).await;
         }
-        watch_hosts(cell, state, &undo);
-        let is_evacuated = undo
+        check_hosts(cluster, state, &active);
+        let is_evacuated = active
             .iter()
-            .any(|(_at, fault)| *fault == SoakFault::Evacuate);
+            .any(|(_time, fault)| *fault == SoakFault::Evacuate);
         if now < end && !is_evacuated && evacuation_rng.random_bool(0.15) {
-            let held = Duration::from_millis(evacuation_rng.random_range(500..3500));
-            SoakFault::Evacuate.begin(cell, state).await;
-            state.note_fault(SoakFault::Evacuate, held);
-            undo.push((now + held, SoakFault::Evacuate));
+            let duration = Duration::from_millis(evacuation_rng.random_range(500..3500));
+            SoakFault::Evacuate.inject(cluster, state).await;
+            state.record_fault(SoakFault::Evacuate, duration);
+            active.push((now + duration, SoakFault::Evacuate));
         }
-        if let Some((_at, copy)) = copy.take_if(|(at, _copy)| *at <= now) {
-            restore_store(cell, state, &copy).await;
+        if let Some((_time, backup)) = backup.take_if(|(time, _backup)| *time <= now) {
+            restore_store(cluster, state, &backup).await;
         }
-        if now < end && copy.is_none() && restore_rng.random_bool(0.2) {
+        if now < end && backup.is_none() && restore_rng.random_bool(0.2) {
             let age = Duration::from_millis(restore_rng.random_range(200..4000));
-            copy = Some((now + age, cell.store.copy()));
+            backup = Some((now + age, cluster.store.copy()));
         }
         if now < end {
             let fault = SoakFault::draw(&mut rng);
-            let held = Duration::from_millis(rng.random_range(500..3500));
-            let clash = undo.iter().any(|(_at, other)| other.same_target(fault));
-            if !clash && fault.begin(cell, state).await {
-                state.note_fault(fault, held);
-                undo.push((now + held, fault));
+            let duration = Duration::from_millis(rng.random_range(500..3500));
+            let conflicts = active.iter().any(|(_time, other)| other.same_target(fault));
+            if !conflicts && fault.inject(cluster, state).await {
+                state.record_fault(fault, duration);
+                active.push((now + duration, fault));
             }
         }
         sleep(Duration::from_millis(rng.random_range(100..700))).await;
     }
 }
 
-/// Lets the store come back from a copy, and its writers write again what it lost.
-async fn restore_store(cell: &PacketCell, state: &SoakState, copy: &StoreCopy) {
-    let lost = cell.store.restore(copy);
-    state.note_restore(lost.len());
-    sleep(WRITE_AGAIN_PAUSE).await;
-    cell.store.write_again(lost);
+/// Restores the store from a backup, then repeats the lost writes as its clients do.
+async fn restore_store(cluster: &PacketCluster, state: &SoakState, backup: &StoreBackup) {
+    let lost = cluster.store.restore(backup);
+    state.record_restore(lost.len());
+    sleep(REWRITE_DELAY).await;
+    cluster.store.rewrite_lost(lost);
 }
 
-/// One fault, and whom it strikes.
+/// A fault and the index of the host or upstream that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SoakFault {
-    /// A host's process is killed and started again.
+    /// A host's process is killed and restarted.
     Kill(usize),
-    /// A host is asked to stop, and started again once it has ended.
+    /// A host gets SIGTERM, and is restarted once it has exited.
     Stop(usize),
-    /// A host stands still.
+    /// A host's process is suspended.
     Freeze(usize),
-    /// A host is told to read its settings again.
+    /// A host gets SIGHUP, which makes it reload its settings.
     Hangup(usize),
-    /// The store treats a host so.
-    Store(usize, StoreMood),
-    /// The store is silent to everybody.
-    StoreAway,
-    /// The store forgets its history.
-    Forget,
-    /// An upstream is without power.
-    Dark(usize),
-    /// An upstream says that it drains, and takes it back.
+    /// The store changes its behaviour to a host.
+    Store(usize, StoreBehaviour),
+    /// The store responds to no host.
+    StoreUnreachable,
+    /// The store drops its history.
+    DropHistory,
+    /// An upstream drops all packets, as after a power loss.
+    UpstreamUnreachable(usize),
+    /// An upstream registers as draining, and as ready when the fault ends.
     Drain(usize),
-    /// A newer configuration.
+    /// A newer configuration is published.
     Routes,
-    /// The zone of the hosts and of most upstreams is evacuated.
+    /// The local zone, which has the hosts and most upstreams, is evacuated.
     Evacuate,
 }
 
@@ -323,18 +337,18 @@
             1 => Self::Stop(host),
             2 => Self::Freeze(host),
             3 => Self::Hangup(host),
-            4 => Self::Store(host, StoreMood::Refuse(503)),
-            5 => Self::Store(host, StoreMood::Refuse(429)),
-            6 => Self::Store(host, StoreMood::Silent),
-            7 => Self::StoreAway,
-            8 => Self::Forget,
-            9 => Self::Dark(upstream),
+            4 => Self::Store(host, StoreBehaviour::Refuse(503)),
+            5 => Self::Store(host, StoreBehaviour::Refuse(429)),
+            6 => Self::Store(host, StoreBehaviour::Silent),
+            7 => Self::StoreUnreachable,
+            8 => Self::DropHistory,
+            9 => Self::UpstreamUnreachable(upstream),
             10 => Self::Drain(upstream),
             _ => Self::Routes,
         }
     }
 
-    /// Whether both strike the same process or the same store.
+    /// Whether both faults affect the same host, the same upstream or the store.
     fn same_target(self, other: Self) -> bool {
         let host = |fault| match fault {
             Self::Kill(host) | Self::Stop(host) | Self::Freeze(host) | Self::Hangup(host) => {
@@ -343,161 +357,166 @@
             _ => None,
         };
         let upstream = |fault| match fault {
-            Self::Dark(upstream) | Self::Drain(upstream) => Some(upstream),
+            Self::UpstreamUnreachable(upstream) | Self::Drain(upstream) => Some(upstream),
             _ => None,
         };
-        let store = |fault| matches!(fault, Self::Store(..) | Self::StoreAway);
+        let store = |fault| matches!(fault, Self::Store(..) | Self::StoreUnreachable);
         let same_host = host(self).is_some() && host(self) == host(other);
         let same_upstream = upstream(self).is_some() && upstream(self) == upstream(other);
         same_host || same_upstream || (store(self) && store(other))
     }
 
-    /// Begins; false if it has nobody to strike.
-    async fn begin(self, cell: &mut PacketCell, state: &SoakState) -> bool {
+    /// Starts the fault. Returns false without an effect if it would send a signal to a host that
+    /// is still starting.
+    async fn inject(self, cluster: &mut PacketCluster, state: &SoakState) -> bool {
         let host = match self {
             Self::Stop(host) | Self::Hangup(host) => Some(host),
             _ => None,
         };
-        if host.is_some_and(|host| cell.hosts[host].is_starting()) {
+        if host.is_some_and(|host| cluster.hosts[host].is_starting()) {
             return false;
         }
         match self {
-            Self::Kill(host) => cell.hosts[host].kill().await,
-            Self::Stop(host) => cell.hosts[host].signal("TERM").await,
-            Self::Freeze(host) => cell.hosts[host].signal("STOP").await,
-            Self::Hangup(host) => cell.hosts[host].signal("HUP").await,
-            Self::Store(host, mood) => cell.hosts[host].store.set_mood(mood),
-            Self::StoreAway => set_moods(cell, StoreMood::Silent),
-            Self::Forget => cell.store.drop_history(),
-            Self::Dark(upstream) => {
-                state.disturb(cell.upstreams[upstream].number);
-                cell.upstreams[upstream].set_dark(true);
+            Self::Kill(host) => cluster.hosts[host].kill().await,
+            Self::Stop(host) => cluster.hosts[host].signal("TERM").await,
+            Self::Freeze(host) => cluster.hosts[host].signal("STOP").await,
+            Self::Hangup(host) => cluster.hosts[host].signal("HUP").await,
+            Self::Store(host, behaviour) => cluster.hosts[host].store.set_behaviour(behaviour),
+            Self::StoreUnreachable => set_all_behaviours(cluster, StoreBehaviour::Silent),
+            Self::DropHistory => cluster.store.drop_history(),
+            Self::UpstreamUnreachable(upstream) => {
+                state.record_upstream_fault(cluster.upstreams[upstream].number);
+                cluster.upstreams[upstream].set_unreachable(true);
             }
-            Self::Drain(upstream) => cell.register(&cell.upstreams[upstream], "ledger", "draining"),
-            Self::Evacuate => cell.evacuate_local(),
+            Self::Drain(index) => cluster.register(&cluster.upstreams[index], "ledger", "draining"),
+            Self::Evacuate => cluster.evacuate_local_zone(),
             Self::Routes => {
                 let version = 2 + state.started.elapsed().as_millis() as u64;
-                cell.publish_routes(version, &[(ledger(), "ledger"), (certs(), "certs")]);
+                cluster.publish_routes(version, &[(ledger(), "ledger"), (certs(), "certs")]);
             }
         }
         true
     }
 
-    async fn take_back(self, cell: &mut PacketCell, state: &SoakState) {
+    async fn revert(self, cluster: &mut PacketCluster, state: &SoakState) {
         match self {
-            Self::Kill(host) => cell.hosts[host].start_again(),
+            Self::Kill(host) => cluster.hosts[host].restart_process(),
             Self::Stop(host) => {
-                if !cell.hosts[host].ended().await.success() {
-                    state.broken(&format!("host {host} did not stop well"));
+                if !cluster.hosts[host].ended().await.success() {
+                    state.record_violation(&format!("host {host} did not exit with success"));
                 }
-                cell.hosts[host].start_again();
+                cluster.hosts[host].restart_process();
             }
-            Self::Freeze(host) => cell.hosts[host].signal("CONT").await,
-            Self::Store(host, _mood) => cell.hosts[host].store.set_mood(StoreMood::Serve),
-            Self::StoreAway => set_moods(cell, StoreMood::Serve),
-            Self::Dark(upstream) => {
-                state.disturb(cell.upstreams[upstream].number);
-                cell.upstreams[upstream].set_dark(false);
+            Self::Freeze(host) => cluster.hosts[host].signal("CONT").await,
+            Self::Store(host, _behaviour) => cluster.hosts[host]
+                .store
+                .set_behaviour(StoreBehaviour::Serve),
+            Self::StoreUnreachable => set_all_behaviours(cluster, StoreBehaviour::Serve),
+            Self::UpstreamUnreachable(upstream) => {
+                state.record_upstream_fault(cluster.upstreams[upstream].number);
+                cluster.upstreams[upstream].set_unreachable(false);
             }
-            Self::Drain(upstream) => cell.register(&cell.upstreams[upstream], "ledger", "ready"),
-            Self::Evacuate => cell.restore_local(),
-            Self::Hangup(_) | Self::Forget | Self::Routes => {}
+            Self::Drain(index) => cluster.register(&cluster.upstreams[index], "ledger", "ready"),
+            Self::Evacuate => cluster.restore_local_zone(),
+            Self::Hangup(_) | Self::DropHistory | Self::Routes => {}
         }
     }
 }
 
-fn set_moods(cell: &PacketCell, mood: StoreMood) {
-    for host in &cell.hosts {
-        host.store.set_mood(mood);
+fn set_all_behaviours(cluster: &PacketCluster, behaviour: StoreBehaviour) {
+    for host in &cluster.hosts {
+        host.store.set_behaviour(behaviour);
     }
 }
 
-/// No process ends by itself: one that was not struck has to run.
-fn watch_hosts(cell: &mut PacketCell, state: &SoakState, undo: &[(Instant, SoakFault)]) {
-    for (index, host) in cell.hosts.iter_mut().enumerate() {
-        let down = undo.iter().any(|(_at, fault)| {
+/// Checks that every host not stopped by a fault is still running.
+fn check_hosts(cluster: &mut PacketCluster, state: &SoakState, active: &[(Instant, SoakFault)]) {
+    for (index, host) in cluster.hosts.iter_mut().enumerate() {
+        let stopped_by_fault = active.iter().any(|(_time, fault)| {
             matches!(fault, SoakFault::Kill(host) | SoakFault::Stop(host) if *host == index)
         });
-        if !down && let Some(status) = host.has_ended() {
-            state.broken(&format!("host {index} ended by itself: {status}"));
-            host.start_again();
+        if !stopped_by_fault && let Some(status) = host.exit_status() {
+            state.record_violation(&format!("host {index} exited by itself: {status}"));
+            host.restart_process();
         }
     }
 }
 
-/// No upstream got a foreign or a changed packet.
-fn check_upstreams(cell: &PacketCell, state: &SoakState) {
-    for upstream in &cell.upstreams {
+/// Checks that no upstream received a modified packet, or one for another upstream or service.
+fn check_upstreams(cluster: &PacketCluster, state: &SoakState) {
+    for upstream in &cluster.upstreams {
         let tally = upstream.tally();
-        let own = if upstream.number <= u64::from(LEDGER_UPSTREAMS) {
+        let own_service = if upstream.number <= u64::from(LEDGER_UPSTREAMS) {
             ledger()
         } else {
             certs()
         };
-        let foreign = tally.asked_for.keys().any(|address| *address != own);
-        if foreign || tally.forged > 0 || tally.not_meant > 0 {
-            state.broken(&format!("upstream {}: {tally:?}", upstream.number));
+        let foreign = tally
+            .syns_by_service
+            .keys()
+            .any(|address| *address != own_service);
+        if foreign || tally.forged > 0 || tally.misdelivered > 0 {
+            state.record_violation(&format!("upstream {}: {tally:?}", upstream.number));
         }
     }
 }
 
-/// When the faults are over, a drain is obeyed and everybody is served.
-async fn check_recovery(cell: &mut PacketCell, state: &SoakState) {
-    cell.wait_for_rotation(usize::from(HOSTS)).await;
-    cell.register(&cell.upstreams[0], "ledger", "draining");
-    cell.evacuate_local();
-    sleep(DRAIN_LIMIT).await;
-    let before = local_openings(cell);
-    let mut caller = cell.caller().await;
+/// Checks after the faults that all requests are served, and that neither a draining upstream nor
+/// an evacuated zone gets new flows.
+async fn check_recovery(cluster: &mut PacketCluster, state: &SoakState) {
+    cluster.wait_for_rotation(usize::from(HOSTS)).await;
+    cluster.register(&cluster.upstreams[0], "ledger", "draining");
+    cluster.evacuate_local_zone();
+    sleep(PROPAGATION_TIME).await;
+    let syns_before = local_syns(cluster);
+    let mut caller = cluster.caller().await;
     for number in 0..20_u32 {
         let data = number.to_string();
-        let answer = match caller.open(ledger()).await {
+        let response = match caller.open(ledger()).await {
             Ok(mut flow) => {
                 caller
-                    .request(&mut flow, data.as_bytes(), REQUEST_LIMIT)
+                    .request(&mut flow, data.as_bytes(), REQUEST_TIMEOUT)
                     .await
             }
             Err(fault) => Err(fault),
         };
-        if let Err(fault) = answer {
-            state.broken(&format!("not served after the faults: {fault:?}"));
+        if let Err(fault) = response {
+            state.record_violation(&format!("request failed after the faults: {fault:?}"));
         }
     }
-    if local_openings(cell) > before {
-        state.broken("an evacuated zone got new flows");
+    if local_syns(cluster) > syns_before {
+        state.record_violation("an evacuated zone got new flows");
     }
-    cell.restore_local();
-    sleep(DRAIN_LIMIT).await;
-    let drained = cell.upstreams[0].tally().openings;
+    cluster.restore_local_zone();
+    sleep(PROPAGATION_TIME).await;
+    let drained_syns = cluster.upstreams[0].tally().syns;
     for _flow in 0..20 {
         if let Err(fault) = caller.open(ledger()).await {
-            state.broken(&format!("no flow after the evacuation: {fault:?}"));
+            state.record_violation(&format!("SYN failed after the evacuation: {fault:?}"));
         }
     }
-    if cell.upstreams[0].tally().openings > drained {
-        state.broken("a drained upstream got new flows");
+    if cluster.upstreams[0].tally().syns > drained_syns {
+        state.record_violation("a drained upstream got new flows");
     }
-    if local_openings(cell) == before {
-        state.broken("a restored zone got no new flows");
+    if local_syns(cluster) == syns_before {
+        state.record_violation("a restored zone got no new flows");
     }
-    remove_all(cell);
+    deregister_all(cluster);
 }
 
-/// Flows opened at the upstreams of the hosts' zone.
-fn local_openings(cell: &PacketCell) -> u64 {
-    let upstreams = cell.upstreams.iter().enumerate();
+/// Returns the number of SYNs that upstreams of the local zone received.
+fn local_syns(cluster: &PacketCluster) -> u64 {
+    let upstreams = cluster.upstreams.iter().enumerate();
     let local = upstreams.filter(|(index, _upstream)| !REMOTE_UPSTREAMS.contains(index));
-    local
-        .map(|(_index, upstream)| upstream.tally().openings)
-        .sum()
+    local.map(|(_index, upstream)| upstream.tally().syns).sum()
 }
 
-fn remove_all(cell: &PacketCell) {
-    let keys = cell
+fn deregister_all(cluster: &PacketCluster) {
+    let keys = cluster
         .upstreams
         .iter()
         .map(|upstream: &PacketUpstream| registration_key(upstream));
     for key in keys {
-        cell.store.remove(&key);
+        cluster.store.remove(&key);
     }
 }
--- a/standin/src/packet_store.rs
+++ b/standin/src/packet_store.rs
@@ -1,6 +1,6 @@
-//! The store of the users' platform: read and watched by hosts, written by tests.
+//! Stand-in for the store of the users' platform: hosts list and watch it, tests write to it.
 //!
-//! Each host gets a port of its own, so that the store can turn one away and serve the others.
+//! Each host gets a port of its own, so that the store can fail for one host and serve the others.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -27,32 +27,32 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Most items of a page; small, so that tests meet several pages.
-const PAGE_ITEMS: usize = 3;
+/// Maximum number of items per page. It is small so that lists in tests span several pages.
+const MAX_PAGE_ITEMS: usize = 3;
 
-/// How the store treats one host.
+/// How the store responds to one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StoreMood {
-    /// It answers.
+pub enum StoreBehaviour {
+    /// Requests are served.
     #[default]
     Serve,
-    /// It refuses with this status.
+    /// Requests fail with this HTTP status.
     Refuse(u16),
-    /// It accepts calls and never answers.
+    /// Requests are accepted and get no response until the behaviour changes.
     Silent,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Content {
-    /// How often the store came back from a copy.
+    /// Number of restores from a backup.
     era: u64,
     revision: u64,
-    /// Values in base64, with the revision of their last change.
+    /// Values in base64 with the revision of their last write, by key.
     items: BTreeMap<String, (String, u64)>,
-    /// Every change: key, value or nothing, revision.
+    /// Every write: key, value in base64 (`None` if the key was removed), revision.
     history: Vec<(String, Option<String>, u64)>,
-    /// Changes up to this revision are forgotten.
-    dropped: u64,
+    /// Writes up to this revision are no longer in the history.
+    compacted: u64,
     calls: u64,
 }
 
@@ -62,19 +62,19 @@
     changed: watch::Sender<u64>,
 }
 
-/// The store.
+/// The store. Clones share its content.
 #[derive(Clone, Debug)]
 pub struct PacketStore {
     shared: Arc<Shared>,
 }
 
-/// The keys and the counter of the store at one moment.
+/// A backup of the store: its keys, history and revision at one point in time.
 #[derive(Clone, Debug)]
-pub struct StoreCopy {
+pub struct StoreBackup {
     content: Content,
 }
 
-/// A write that the store has lost.
+/// A write that a restore from a backup has undone.
 #[derive(Clone, Debug)]
 pub struct LostWrite {
     key: String,
@@ -82,18 +82,18 @@
     value: Option<String>,
 }
 
-/// The store as one host meets it.
+/// The port of the store for one host.
 #[derive(Clone, Debug)]
 pub struct StorePort {
-    /// Where it answers.
+    /// Address at which the store serves this host.
     pub address: SocketAddrV4,
-    mood: watch::Sender<StoreMood>,
+    behaviour: watch::Sender<StoreBehaviour>,
 }
 
 #[derive(Clone)]
 struct PortState {
     shared: Arc<Shared>,
-    mood: watch::Receiver<StoreMood>,
+    behaviour: watch::Receiver<StoreBehaviour>,
 }
 
 impl Default for PacketStore {
@@ -113,9 +113,10 @@
 }
 
 impl Content {
-    /// Whether a watch cannot go on from this revision.
-    fn lacks(&self, after: u64) -> bool {
-        after < self.dropped || after > self.revision
+    /// Whether a watch cannot resume after this revision, because the history was dropped or the
+    /// store was restored to an older revision.
+    fn cannot_resume(&self, after: u64) -> bool {
+        after < self.compacted || after > self.revision
     }
 }
 
@@ -126,42 +127,42 @@
 }
 
 impl StorePort {
-    /// Changes how the store treats this host, from now and for calls that wait.
-    pub fn set_mood(&self, mood: StoreMood) {
-        self.mood.send_replace(mood);
+    /// Sets the behaviour for this host. It also applies to pending requests.
+    pub fn set_behaviour(&self, behaviour: StoreBehaviour) {
+        self.behaviour.send_replace(behaviour);
     }
 }
 
 impl PacketStore {
     /// Opens a port for one host.
-    pub async fn open_port(&self, mood: StoreMood) -> std::io::Result<StorePort> {
+    pub async fn open_port(&self, behaviour: StoreBehaviour) -> std::io::Result<StorePort> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let SocketAddr::V4(address) = listener.local_addr()? else {
             return Err(std::io::Error::other("not IPv4"));
         };
-        let (sender, receiver) = watch::channel(mood);
+        let (sender, receiver) = watch::channel(behaviour);
         let state = PortState {
             shared: self.shared.clone(),
-            mood: receiver,
+            behaviour: receiver,
         };
         let router = Router::new()
-            .route("/v1/kv-range", get(range))
+            .route("/v1/kv-range", get(list_keys))
             .route("/v1/kv-watch", get(watch_changes))
-            .layer(map_response_with_state(self.shared.clone(), add_era))
+            .layer(map_response_with_state(self.shared.clone(), add_era_header))
             .with_state(state);
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(StorePort {
             address,
-            mood: sender,
+            behaviour: sender,
         })
     }
 
-    /// Writes a value.
+    /// Writes a JSON value.
     pub fn put(&self, key: &str, value: &Value) {
         self.put_bytes(key, value.to_string().as_bytes());
     }
 
-    /// Writes a value that may be anything.
+    /// Writes a value of arbitrary bytes.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         self.write(key, Some(base64_text(value)));
     }
@@ -188,26 +189,26 @@
         self.shared.changed.send_replace(revision);
     }
 
-    /// Forgets the history: watches that begin earlier get 410.
+    /// Drops the history: watches that resume at an earlier revision get status 410.
     pub fn drop_history(&self) {
         let mut content = self.shared.content();
-        content.dropped = content.revision;
+        content.compacted = content.revision;
         content.history.clear();
     }
 
-    /// The present content, to come back from.
-    pub fn copy(&self) -> StoreCopy {
+    /// Returns a backup of the present content.
+    pub fn copy(&self) -> StoreBackup {
         let content = self.shared.content().clone();
-        StoreCopy { content }
+        StoreBackup { content }
     }
 
-    /// Comes back from a copy: what was written since is gone, and its revisions are given out again. Returns the lost
-    /// writes, in their order.
-    pub fn restore(&self, copy: &StoreCopy) -> Vec<LostWrite> {
+    /// Restores the content from a backup and begins a new era. Later writes are lost, and their
+    /// revisions are used again. Returns the lost writes in their order.
+    pub fn restore(&self, backup: &StoreBackup) -> Vec<LostWrite> {
         let mut content = self.shared.content();
         let history = content.history.iter();
         let lost = history
-            .filter(|(_key, _value, revision)| *revision > copy.content.revision)
+            .filter(|(_key, _value, revision)| *revision > backup.content.revision)
             .map(|(key, value, _revision)| LostWrite {
                 key: key.clone(),
                 value: value.clone(),
@@ -216,69 +217,70 @@
         *content = Content {
             era: content.era + 1,
             calls: content.calls,
-            ..copy.content.clone()
+            ..backup.content.clone()
         };
         self.shared.changed.send_replace(content.revision);
         lost
     }
 
-    /// Makes lost writes again, as their writers do.
-    pub fn write_again(&self, lost: Vec<LostWrite>) {
+    /// Repeats lost writes, as the clients that made them do. They get new revisions.
+    pub fn rewrite_lost(&self, lost: Vec<LostWrite>) {
         for write in lost {
             self.write(&write.key, write.value);
         }
     }
 
-    /// Calls of all hosts, refused ones included.
+    /// Returns the number of requests of all hosts, failed ones included.
     pub fn calls(&self) -> u64 {
         self.shared.content().calls
     }
 }
 
-type Words = Query<HashMap<String, String>>;
+type Parameters = Query<HashMap<String, String>>;
 
-/// Header with the era, in every answer.
+/// HTTP header with the era, part of every response.
 const ERA_HEADER: &str = "store-era";
 
-/// States the present era in an answer that has none yet: a refusal.
-async fn add_era(State(shared): State<Arc<Shared>>, mut response: Response) -> Response {
+/// Adds the current era to responses without one, which are error responses.
+async fn add_era_header(State(shared): State<Arc<Shared>>, mut response: Response) -> Response {
     let era = HeaderValue::from(shared.content().era);
     response.headers_mut().entry(ERA_HEADER).or_insert(era);
     response
 }
 
-/// An answer from this content, in its era.
-fn answer(content: &Content, body: Value) -> Response {
+/// Returns a response with this body and the era of this content.
+fn respond(content: &Content, body: Value) -> Response {
     let era = HeaderValue::from(content.era);
     ([(ERA_HEADER, era)], axum::Json(body)).into_response()
 }
 
-/// Waits out the mood; `Some` if the call ends with that.
-async fn moody(state: &PortState) -> Option<Response> {
+/// Counts a request and applies the behaviour of its port: returns `None` once the request may be
+/// served, or the response that ends it.
+async fn apply_behaviour(state: &PortState) -> Option<Response> {
     state.shared.content().calls += 1;
-    let mut mood = state.mood.clone();
+    let mut behaviour = state.behaviour.clone();
     loop {
-        let present = *mood.borrow_and_update();
-        match present {
-            StoreMood::Serve => return None,
-            StoreMood::Refuse(status) => return Some(refusal(status)),
-            StoreMood::Silent => mood.changed().await.ok()?,
+        let current = *behaviour.borrow_and_update();
+        match current {
+            StoreBehaviour::Serve => return None,
+            StoreBehaviour::Refuse(status) => return Some(error_response(status)),
+            StoreBehaviour::Silent => behaviour.changed().await.ok()?,
         }
     }
 }
 
-fn refusal(status: u16) -> Response {
+fn error_response(status: u16) -> Response {
     StatusCode::from_u16(status)
         .unwrap_or(StatusCode::SERVICE_UNAVAILABLE)
         .into_response()
 }
 
-async fn range(State(state): State<PortState>, Query(words): Words) -> Response {
-    if let Some(response) = moody(&state).await {
+async fn list_keys(State(state): State<PortState>, Query(parameters): Parameters) -> Response {
+    if let Some(response) = apply_behaviour(&state).await {
         return response;
     }
-    let prefix = words.get("Prefix").cloned().unwrap_or_default();
-    let after = words.get("after").cloned().unwrap_or_default();
+    let prefix = parameters.get("Prefix").cloned().unwrap_or_default();
+    let after = parameters.get("after").cloned().unwrap_or_default();
     let content = state.shared.content();
     let matching = content
         .items
@@ -286,20 +288,20 @@
         .filter(|(key, _item)| key.starts_with(&prefix) && **key > after);
     let items: Vec<Value> = matching
         .clone()
-        .take(PAGE_ITEMS)
+        .take(MAX_PAGE_ITEMS)
         .map(|(key, (value, revision))| item(key, value, *revision))
         .collect();
-    let truncated = matching.count() > PAGE_ITEMS;
+    let truncated = matching.count() > MAX_PAGE_ITEMS;
     let body = json!({"items": items, "Truncated": truncated, "CurrentRev": content.revision});
-    answer(&content, body)
+    respond(&content, body)
 }
 
-async fn watch_changes(State(state): State<PortState>, Query(words): Words) -> Response {
-    if let Some(response) = moody(&state).await {
+async fn watch_changes(State(state): State<PortState>, Query(parameters): Parameters) -> Response {
+    if let Some(response) = apply_behaviour(&state).await {
         return response;
     }
     let number = |name: &str| {
-        words
+        parameters
             .get(name)
             .and_then(|text| text.parse::<u64>().ok())
             .unwrap_or_default()
@@ -308,23 +310,23 @@
     let wait = Duration::from_millis(number("WaitMs"));
     let era = {
         let content = state.shared.content();
-        if content.lacks(after) {
-            return refusal(410);
+        if content.cannot_resume(after) {
+            return error_response(410);
         }
         content.era
     };
     let mut changed = state.shared.changed.subscribe();
-    let mut mood = state.mood.clone();
+    let mut behaviour = state.behaviour.clone();
     tokio::select! {
         _ = timeout(wait, changed.wait_for(|revision| *revision > after)) => {}
-        _ = mood.wait_for(|mood| *mood != StoreMood::Serve) => {}
+        _ = behaviour.wait_for(|behaviour| *behaviour != StoreBehaviour::Serve) => {}
     }
-    if let Some(response) = moody(&state).await {
+    if let Some(response) = apply_behaviour(&state).await {
         return response;
     }
     let content = state.shared.content();
-    if content.lacks(after) || content.era != era {
-        return refusal(410);
+    if content.cannot_resume(after) || content.era != era {
+        return error_response(410);
     }
     let newer = content
         .history
@@ -337,25 +339,25 @@
         })
         .collect();
     let body = json!({"events": events, "CurrentRev": content.revision});
-    answer(&content, body)
+    respond(&content, body)
 }
 
 fn item(key: &str, value: &str, revision: u64) -> Value {
     json!({"Key": key, "Value": value, "Revision": revision, "Created": revision, "Lease": 0})
 }
 
-/// Base64 with padding, written apart from the library that the adapter uses.
+/// Encodes bytes as base64 with padding, independently of the library that the adapter uses.
 fn base64_text(bytes: &[u8]) -> String {
-    const LETTERS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+    const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
     let mut text = String::new();
     for chunk in bytes.chunks(3) {
         let mut group = [0; 3];
         group[..chunk.len()].copy_from_slice(chunk);
         let bits = u32::from_be_bytes([0, group[0], group[1], group[2]]);
-        for place in 0..4 {
-            if place <= chunk.len() {
-                let index = (bits >> (18 - 6 * place)) & 63;
-                text.push(char::from(LETTERS[index as usize]));
+        for position in 0..4 {
+            if position <= chunk.len() {
+                let index = (bits >> (18 - 6 * position)) & 63;
+                text.push(char::from(ALPHABET[index as usize]));
             } else {
                 text.push('=');
             }
--- a/standin/src/packet_upstream.rs
+++ b/standin/src/packet_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that speaks packets: it answers callers directly and judges what reaches it.
+//! An upstream for packets: it responds directly to callers and counts unexpected packets.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,120 +13,121 @@
 
 use crate::packet_wire::ACK;
 use crate::packet_wire::FIN;
-use crate::packet_wire::FRONT;
 use crate::packet_wire::RST;
 use crate::packet_wire::SYN;
+use crate::packet_wire::UPSTREAM_NUMBER_BYTES;
 use crate::packet_wire::WirePacket;
 
-/// Position at which upstreams begin their streams.
-const FIRST_SEQ: u32 = 1_000;
+/// Sequence number of the first byte that an upstream sends on a flow.
+const INITIAL_SEQ: u32 = 1_000;
 
-/// What an upstream has seen.
+/// Counters of an upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamTally {
-    /// Opening packets.
-    pub openings: u64,
-    /// Requests that it ran.
+    /// SYNs, retransmitted ones included.
+    pub syns: u64,
+    /// Requests that it ran; a retransmitted request counts once.
     pub requests: u64,
-    /// Packets meant for another upstream.
-    pub not_meant: u64,
-    /// Packets whose sum is wrong.
+    /// Packets that carry the number of another upstream.
+    pub misdelivered: u64,
+    /// Packets with an invalid checksum.
     pub forged: u64,
-    /// Packets of flows that it does not hold.
+    /// Packets of unknown flows.
     pub unknown: u64,
-    /// Opening packets by the address that the caller asked for.
-    pub asked_for: BTreeMap<SocketAddrV4, u64>,
+    /// SYNs by the service address that the caller sent them to.
+    pub syns_by_service: BTreeMap<SocketAddrV4, u64>,
 }
 
 #[derive(Debug)]
-struct HeldFlow {
+struct FlowState {
     echo: u32,
-    /// Next byte that the caller should send.
+    /// Sequence number of the next byte expected from the caller.
     expected: u32,
     seq: u32,
-    /// The last answer, sent again for a copy of its request.
-    answer: Vec<u8>,
+    /// The last response, sent again if its request is retransmitted.
+    response: Vec<u8>,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
-    flows: HashMap<SocketAddrV4, HeldFlow>,
+struct UpstreamState {
+    flows: HashMap<SocketAddrV4, FlowState>,
     tally: UpstreamTally,
-    dark: bool,
-    /// Time from a request to its answer.
-    answer_delay: Duration,
+    unreachable: bool,
+    /// Delay from a request to its response.
+    response_delay: Duration,
 }
 
-/// One upstream.
+/// A running upstream. It serves packets in a task of its own.
 #[derive(Debug)]
 pub struct PacketUpstream {
-    /// The number in its name.
+    /// Number of the upstream, part of its name.
     pub number: u64,
-    /// Where it takes packets.
+    /// Address at which it receives packets.
     pub address: SocketAddrV4,
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<UpstreamState>>,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl PacketUpstream {
-    /// Starts one that sends answers to callers at this port.
+    /// Starts an upstream that sends its responses to `caller_port` at the caller's IP address.
     pub async fn start(
         number: u64,
         address: SocketAddrV4,
         caller_port: u16,
     ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
-        let inner = Arc::new(Mutex::new(Inner::default()));
-        let task = tokio::spawn(serve(socket, number, caller_port, inner.clone()));
+        let state = Arc::new(Mutex::new(UpstreamState::default()));
+        let task = tokio::spawn(serve(socket, number, caller_port, state.clone()));
         Ok(Self {
             number,
             address,
-            inner,
+            state,
             task,
         })
     }
 
-    /// What it has seen.
+    /// Returns a copy of the counters.
     pub fn tally(&self) -> UpstreamTally {
-        lock(&self.inner).tally.clone()
+        lock(&self.state).tally.clone()
     }
 
-    /// Makes it dark, as without power, or lets it answer again.
-    pub fn set_dark(&self, dark: bool) {
-        lock(&self.inner).dark = dark;
+    /// Makes the upstream drop all packets, as after a power loss, or lets it respond again.
+    pub fn set_unreachable(&self, unreachable: bool) {
+        lock(&self.state).unreachable = unreachable;
     }
 
-    /// Lets each answer take so long from now.
-    pub fn set_answer_delay(&self, delay: Duration) {
-        lock(&self.inner).answer_delay = delay;
+    /// Sets the delay of all later responses. It does not apply to SYNs and acknowledgements.
+    pub fn set_response_delay(&self, delay: Duration) {
+        lock(&self.state).response_delay = delay;
     }
 
-    /// Ends it, so that another may have its address.
+    /// Stops the upstream and frees its address for another one.
     pub async fn end(self) {
         self.task.abort();
         let _cancelled = self.task.await;
     }
 }
 
-fn lock(inner: &Mutex<Inner>) -> MutexGuard<'_, Inner> {
-    inner.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<UpstreamState>) -> MutexGuard<'_, UpstreamState> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn serve(socket: UdpSocket, number: u64, caller_port: u16, inner: Arc<Mutex<Inner>>) {
+async fn serve(socket: UdpSocket, number: u64, caller_port: u16, state: Arc<Mutex<UpstreamState>>) {
     let socket = Arc::new(socket);
     let mut buffer = [0; 2048];
     while let Ok((length, _source)) = socket.recv_from(&mut buffer).await {
-        let Some((front, body)) = buffer[..length].split_first_chunk::<FRONT>() else {
+        let Some((prefix, body)) = buffer[..length].split_first_chunk::<UPSTREAM_NUMBER_BYTES>()
+        else {
             continue;
         };
         let Some(packet) = WirePacket::decode(body) else {
             continue;
         };
-        let meant = u64::from_be_bytes(*front);
-        let reply = lock(&inner).take(number, meant, &packet);
+        let intended = u64::from_be_bytes(*prefix);
+        let reply = lock(&state).handle_packet(number, intended, &packet);
         if let Some(reply) = reply {
             let target = SocketAddrV4::new(*packet.source.ip(), caller_port);
-            let delay = lock(&inner).answer_delay;
+            let delay = lock(&state).response_delay;
             if reply.data.is_empty() || delay.is_zero() {
                 let _sent = socket.send_to(&reply.encode(), target).await;
                 continue;
@@ -140,16 +141,21 @@
     }
 }
 
-impl Inner {
-    fn take(&mut self, number: u64, meant: u64, packet: &WirePacket) -> Option<WirePacket> {
-        if self.dark {
+impl UpstreamState {
+    fn handle_packet(
+        &mut self,
+        number: u64,
+        intended: u64,
+        packet: &WirePacket,
+    ) -> Option<WirePacket> {
+        if self.unreachable {
             return None;
         }
-        if meant != 0 && meant != number {
-            self.tally.not_meant += 1;
+        if intended != 0 && intended != number {
+            self.tally.misdelivered += 1;
             return None;
         }
-        if !packet.genuine {
+        if !packet.checksum_valid {
             self.tally.forged += 1;
             return None;
         }
@@ -173,11 +179,11 @@
         if !packet.data.is_empty() {
             if packet.seq == flow.expected {
                 self.tally.requests += 1;
-                flow.seq = flow.seq.wrapping_add(flow.answer.len() as u32);
+                flow.seq = flow.seq.wrapping_add(flow.response.len() as u32);
                 flow.expected = packet.seq.wrapping_add(packet.data.len() as u32);
-                flow.answer = answer_to(&packet.data, number);
+                flow.response = response_to(&packet.data, number);
             }
-            reply.data = flow.answer.clone();
+            reply.data = flow.response.clone();
         }
         reply.echo = flow.echo;
         reply.seq = flow.seq;
@@ -186,26 +192,26 @@
     }
 
     fn open(&mut self, packet: &WirePacket) -> WirePacket {
-        self.tally.openings += 1;
-        *self.tally.asked_for.entry(packet.target).or_default() += 1;
-        let flow = HeldFlow {
+        self.tally.syns += 1;
+        *self.tally.syns_by_service.entry(packet.target).or_default() += 1;
+        let flow = FlowState {
             echo: packet.echo,
             expected: packet.seq.wrapping_add(1),
-            seq: FIRST_SEQ,
-            answer: Vec::new(),
+            seq: INITIAL_SEQ,
+            response: Vec::new(),
         };
         let mut reply = WirePacket::bare(packet.target, packet.source, SYN | ACK);
         reply.echo = packet.echo;
-        reply.seq = FIRST_SEQ - 1;
+        reply.seq = INITIAL_SEQ - 1;
         reply.ack = flow.expected;
         self.flows.insert(packet.source, flow);
         reply
     }
 }
 
-/// The answer to a request: what was asked, and who answered.
-pub fn answer_to(request: &[u8], number: u64) -> Vec<u8> {
-    let mut answer = request.to_vec();
-    answer.extend(format!(" by {number:x}").bytes());
-    answer
+/// Returns the response of an upstream to a request: the request and the upstream's number.
+pub fn response_to(request: &[u8], number: u64) -> Vec<u8> {
+    let mut response = request.to_vec();
+    response.extend(format!(" by {number:x}").bytes());
+    response
 }
--- a/standin/src/packet_wire.rs
+++ b/standin/src/packet_wire.rs
@@ -1,49 +1,50 @@
-//! Packets of the users' platform, read and written apart from the adapter that is tested.
+//! Encodes and decodes packets of the users' platform, independently of the adapter under test.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of a head.
-pub const HEAD: usize = 31;
-/// Bytes in front of a packet for an upstream.
-pub const FRONT: usize = 8;
-/// Flag of an opening packet.
+/// Length of a packet header, in bytes.
+pub const HEADER_BYTES: usize = 31;
+/// Length of the upstream number that hosts write before a packet for an upstream, in bytes.
+pub const UPSTREAM_NUMBER_BYTES: usize = 8;
+/// Flag of a packet that opens a flow.
 pub const SYN: u8 = 8;
 /// Flag of an acknowledgement.
 pub const ACK: u8 = 16;
-/// Flag of the end of a stream.
+/// Flag of the end of one direction of a flow.
 pub const FIN: u8 = 4;
-/// Flag of the end of a flow.
+/// Flag that resets a flow.
 pub const RST: u8 = 1;
 
-/// Key of the sum, which only the two ends know.
-const SUM_KEY: u64 = 0x7a69_6775_696e_6368;
+/// Key of the checksum. Only the two ends of a flow know it, so that hosts cannot compute one.
+const CHECKSUM_KEY: u64 = 0x7a69_6775_696e_6368;
 
-/// One packet.
+/// A packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WirePacket {
-    /// The sender's end of the flow.
+    /// Address of the sender.
     pub source: SocketAddrV4,
-    /// The receiver's end.
+    /// Address of the receiver.
     pub target: SocketAddrV4,
-    /// Flags.
+    /// Combination of [`SYN`], [`ACK`], [`FIN`] and [`RST`].
     pub flags: u8,
-    /// What the sender last received there, or what the system wrote.
+    /// The last value of this field that the sender received, or the tag that a host wrote.
     pub echo: u32,
-    /// Position of the data.
+    /// Sequence number of the first data byte.
     pub seq: u32,
-    /// Position up to which the sender has received.
+    /// Sequence number of the next byte that the sender expects; in a SYN, the number of earlier
+    /// transmissions.
     pub ack: u32,
-    /// The data.
+    /// Payload.
     pub data: Vec<u8>,
-    /// Whether the sum is right; packets are written with a right one.
-    pub genuine: bool,
+    /// Whether the received checksum matches. `encode` always writes a matching one.
+    pub checksum_valid: bool,
 }
 
 impl WirePacket {
-    /// A packet without data.
+    /// Returns a packet without data, with echo and sequence numbers of 0.
     pub fn bare(source: SocketAddrV4, target: SocketAddrV4, flags: u8) -> Self {
         Self {
             source,
@@ -53,18 +54,18 @@
             seq: 0,
             ack: 0,
             data: Vec::new(),
-            genuine: true,
+            checksum_valid: true,
         }
     }
 
-    /// The packet as bytes.
+    /// Encodes the packet with its checksum.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD + self.data.len());
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + self.data.len());
         bytes.extend(self.source.port().to_le_bytes());
         bytes.extend(u32::from(*self.source.ip()).to_le_bytes());
         bytes.extend(u32::from(*self.target.ip()).to_le_bytes());
         bytes.extend(self.target.port().to_le_bytes());
-        bytes.extend(self.sum().to_le_bytes());
+        bytes.extend(self.checksum().to_le_bytes());
         bytes.extend(self.echo.to_le_bytes());
         bytes.extend(self.seq.to_le_bytes());
         bytes.extend(self.ack.to_le_bytes());
@@ -74,29 +75,30 @@
         bytes
     }
 
-    /// Reads a packet; `None` if it is cut short.
+    /// Decodes a packet; `None` if it is truncated. A wrong checksum only clears `checksum_valid`.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let head = bytes.get(..HEAD)?;
-        let word =
-            |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let half = |at: usize| u16::from_le_bytes([head[at], head[at + 1]]);
-        let data = bytes.get(HEAD..HEAD + usize::from(half(28)))?;
+        let header = bytes.get(..HEADER_BYTES)?;
+        let read_u32 = |at: usize| {
+            u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
+        };
+        let read_u16 = |at: usize| u16::from_le_bytes([header[at], header[at + 1]]);
+        let data = bytes.get(HEADER_BYTES..HEADER_BYTES + usize::from(read_u16(28)))?;
         let mut packet = Self {
-            source: SocketAddrV4::new(Ipv4Addr::from(word(2)), half(0)),
-            target: SocketAddrV4::new(Ipv4Addr::from(word(6)), half(10)),
-            flags: head[30],
-            echo: word(16),
-            seq: word(20),
-            ack: word(24),
+            source: SocketAddrV4::new(Ipv4Addr::from(read_u32(2)), read_u16(0)),
+            target: SocketAddrV4::new(Ipv4Addr::from(read_u32(6)), read_u16(10)),
+            flags: header[30],
+            echo: read_u32(16),
+            seq: read_u32(20),
+            ack: read_u32(24),
             data: data.to_vec(),
-            genuine: true,
+            checksum_valid: true,
         };
-        packet.genuine = packet.sum() == word(12);
+        packet.checksum_valid = packet.checksum() == read_u32(12);
         Some(packet)
     }
 
-    /// Covers everything but the echo.
-    fn sum(&self) -> u32 {
+    /// Returns the checksum, which covers everything but the echo, since hosts change that field.
+    fn checksum(&self) -> u32 {
         let mut text = Vec::new();
         for end in [self.source, self.target] {
             text.extend(end.ip().octets());
@@ -106,6 +108,6 @@
         text.extend(self.seq.to_le_bytes());
         text.extend(self.ack.to_le_bytes());
         text.extend(&self.data);
-        xxh3_64_with_seed(&text, SUM_KEY) as u32
+        xxh3_64_with_seed(&text, CHECKSUM_KEY) as u32
     }
 }
--- a/standin/src/peer_proxy.rs
+++ b/standin/src/peer_proxy.rs
@@ -1,7 +1,7 @@
-//! Stands between entry hosts, so that availability zones can be cut from each other.
+//! Forwards datagrams between entry hosts, so that tests can partition availability zones.
 //!
-//! A host publishes its proxy's address as its peer address; the proxy tells the sender's zone by
-//! the address that the datagram comes from.
+//! A host publishes its proxy's address as its peer address. The proxy finds the sender's zone by
+//! the source address of the datagram.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,18 +14,18 @@
 
 use crate::fabric::Fabric;
 
-/// A proxy before one host's peer socket.
+/// A proxy in front of one host's peer socket.
 pub struct PeerProxy {
     fabric: Fabric,
     zone: ZoneName,
     target: SocketAddr,
-    /// The zone of each host, by the address that its datagrams come from.
+    /// The zone of each host, by the source address of its datagrams.
     sources: BTreeMap<SocketAddr, ZoneName>,
     socket: Arc<UdpSocket>,
 }
 
 impl PeerProxy {
-    /// Binds a proxy before `target`, a host in `zone`.
+    /// Binds a proxy in front of `target`, a host in `zone`.
     pub async fn bind(
         fabric: Fabric,
         zone: ZoneName,
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The address to publish.
+    /// Returns the address to publish as the host's peer address.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -55,7 +55,7 @@
                 continue;
             };
             let Some(zone) = self.sources.get(&source) else {
-                log::warn!("datagram of an unknown host at {source}");
+                log::warn!("ignoring a datagram from an unknown host at {source}");
                 continue;
             };
             let bytes = Bytes::copy_from_slice(&buffer[..len]);
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,7 +1,7 @@
-//! Stand-in for the platform: operators publish, everybody else reads and watches.
+//! Stands in for the platform: a key-value store that operators change and hosts read and watch.
 //!
-//! It speaks `docs/technical/platform-protocol.md`, counts each call, and can be made stale, slow
-//! or dead. [`crate::platform_operator`] has the operators' side.
+//! It implements `docs/technical/platform-protocol.md`, counts each call, and can be made stale,
+//! slow or unresponsive. [`crate::platform_operator`] serves the operators' API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,33 +32,33 @@
 use crate::key_store::StoreError;
 use crate::platform_operator;
 
-/// Longest time that a watch waits, whatever it asks for.
+/// Maximum time that a watch waits for a change.
 const MAX_WATCH: Duration = Duration::from_secs(60);
-/// Prefix of the keys that hold the lagging list of entry hosts.
+/// Prefix of the keys that hold the list of entry hosts, which may lag.
 const HOSTS_PREFIX: &str = "hosts/";
 
-/// How the platform misbehaves; an operator's call replaces them all.
+/// Injected faults of the platform; a call of an operator replaces all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformFaults {
-    /// Readers see the copy of the moment at which this was set.
+    /// Readers see the state of the time at which this was set.
     pub stale: bool,
-    /// Readers see the copy of this revision, as after a restart from an older one.
+    /// Readers see the state of this revision, as after a restart from an older state.
     pub frozen_at: Option<Version>,
-    /// Each read is answered this many milliseconds late.
+    /// Delay in milliseconds of the response to each call of a reader.
     pub delay_ms: u64,
-    /// No read is answered until this is cleared.
+    /// Calls of readers get no response until this is cleared.
     pub dead: bool,
-    /// Changes under `hosts/` are published this many milliseconds late.
+    /// Delay in milliseconds until changes under `hosts/` are published.
     pub hosts_lag_ms: u64,
-    /// Changes kept for watches from now on, if given.
+    /// Number of changes that are retained for watches from now on, if given.
     pub history_limit: Option<usize>,
 }
 
-/// What was asked of the platform.
+/// Counts the calls of readers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounters {
-    /// The newest revision.
+    /// The latest revision.
     pub revision: Version,
     /// Calls that list keys.
     pub lists: u64,
@@ -66,13 +66,13 @@
     pub reads: u64,
     /// Calls that watch.
     pub watches: u64,
-    /// Watches that wait at present.
+    /// Watches that are waiting for a change.
     pub waiting_watches: u64,
     /// Calls of all kinds.
     pub calls: u64,
 }
 
-/// A kind of call, for counting.
+/// The kind of a counted call.
 #[derive(Clone, Copy, Debug)]
 enum CallKind {
     List,
@@ -80,23 +80,23 @@
     Watch,
 }
 
-/// What the platform holds.
+/// The state that clones of a [`Platform`] share.
 #[derive(Default)]
 struct PlatformState {
     store: KeyStore,
-    /// How often the platform has come back from a copy.
+    /// How often the platform was restored from a backup.
     era: PlatformEra,
-    /// What readers see in place of `store` while the platform is stale.
-    copy: Option<KeyStore>,
+    /// The store that readers see in place of `store` while the platform is stale or frozen.
+    stale_copy: Option<KeyStore>,
     faults: PlatformFaults,
     counters: PlatformCounters,
 }
 
-/// A platform; clones share what it holds.
+/// A platform stand-in; clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     state: Arc<Mutex<PlatformState>>,
-    /// Wakes waiting watches at each change of keys or faults.
+    /// Wakes waiting calls after each change of keys or faults.
     changed: watch::Sender<u64>,
 }
 
@@ -110,8 +110,10 @@
 }
 
 impl Platform {
-    /// Sets or, with `None`, deletes a key. `Ok(None)` when the list of hosts lags and the change
-    /// is published later.
+    /// Sets a key, or deletes it if `value` is `None`, and returns its new version.
+    ///
+    /// Returns `Ok(None)` if the list of hosts lags and the change is published later. Returns an
+    /// error if the value is too long or the key's version is not `expected`.
     pub fn change(
         &self,
         key: &str,
@@ -125,7 +127,7 @@
             tokio::spawn(async move {
                 tokio::time::sleep(lag).await;
                 if let Err(error) = platform.change_now(&key, value, expected) {
-                    log::error!("{key}: {error}");
+                    log::error!("cannot change key {key}: {error}");
                 }
             });
             return Ok(None);
@@ -133,17 +135,17 @@
         self.change_now(key, value, expected).map(Some)
     }
 
-    /// The version of a key, zero if it is not there.
+    /// Returns the version of a key, zero if it does not exist.
     pub fn version_of(&self, key: &str) -> Version {
         let state = self.lock();
         state.store.get(key).map_or(0, |change| change.version)
     }
 
-    /// Publishes a value that is known to be valid.
+    /// Publishes a value without an expected version; an error is only logged.
     pub fn publish<T: Serialize>(&self, key: &str, value: &T) {
         let value = serde_json::to_value(value).unwrap_or_default();
         if let Err(error) = self.change(key, Some(value), None) {
-            log::error!("{key}: {error}");
+            log::error!("cannot change key {key}: {error}");
         }
     }
 
@@ -154,45 +156,49 @@
         expected: Option<Version>,
     ) -> Result<Version, StoreError> {
         let version = self.lock().store.change(key, value, expected)?;
-        self.wake();
+        self.notify_watches();
         Ok(version)
     }
 
-    /// Replaces the faults.
+    /// Replaces the injected faults; returns an error if the history does not reach back to
+    /// `frozen_at`.
     pub fn set_faults(&self, faults: PlatformFaults) -> Result<(), StoreError> {
         let mut state = self.lock();
-        let copy = match faults.frozen_at {
-            Some(revision) => Some(state.store.copy_at(revision)?),
+        let stale_copy = match faults.frozen_at {
+            Some(revision) => Some(state.store.snapshot_at(revision)?),
             None if !faults.stale => None,
-            None if state.faults.stale => state.copy.take(),
+            None if state.faults.stale => state.stale_copy.take(),
             None => Some(state.store.clone()),
         };
         if let Some(limit) = faults.history_limit {
-            state.store.limit_history(limit);
+            state.store.set_history_limit(limit);
         }
-        state.copy = copy;
+        state.stale_copy = stale_copy;
         state.faults = faults;
         drop(state);
-        self.wake();
+        self.notify_watches();
         Ok(())
     }
 
-    /// Comes back from the copy of a revision: later changes are lost, and their revisions given out again.
+    /// Restores the store as of a revision, as from a backup. Later changes are lost, and their
+    /// revisions are assigned again.
+    ///
+    /// Returns an error if the history does not reach back to the revision.
     pub fn restore(&self, revision: Version) -> Result<(), StoreError> {
         let mut state = self.lock();
-        state.store = state.store.copy_at(revision)?;
+        state.store = state.store.snapshot_at(revision)?;
         state.era += 1;
         drop(state);
-        self.wake();
+        self.notify_watches();
         Ok(())
     }
 
-    /// The faults in force.
+    /// Returns the current faults.
     pub fn faults(&self) -> PlatformFaults {
         self.lock().faults
     }
 
-    /// What was asked so far.
+    /// Returns the number of calls so far.
     pub fn counters(&self) -> PlatformCounters {
         let state = self.lock();
         PlatformCounters {
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Serves on a port that the system chooses.
+    /// Starts serving on a port that the system chooses, and returns the address.
     pub async fn start(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -221,26 +227,26 @@
         axum::serve(listener, router).await
     }
 
-    /// Calls `read` on what readers see at present.
-    pub(crate) fn read<T>(&self, read: impl FnOnce(&KeyStore) -> T) -> EraAnswer<T> {
+    /// Calls `read` on the store that readers see.
+    pub(crate) fn read<T>(&self, read: impl FnOnce(&KeyStore) -> T) -> EraResponse<T> {
         let state = self.lock();
-        EraAnswer {
+        EraResponse {
             era: state.era,
-            answer: read(state.copy.as_ref().unwrap_or(&state.store)),
+            answer: read(state.stale_copy.as_ref().unwrap_or(&state.store)),
         }
     }
 
-    /// Counts a call and waits out the faults that concern it.
-    async fn admit(&self, kind: CallKind) {
+    /// Counts a call, and delays it as the injected faults demand.
+    async fn begin_call(&self, kind: CallKind) {
         self.count(kind);
         let delay = Duration::from_millis(self.faults().delay_ms);
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        self.wait_until_alive().await;
+        self.wait_until_responsive().await;
     }
 
-    async fn wait_until_alive(&self) {
+    async fn wait_until_responsive(&self) {
         let mut changed = self.changed.subscribe();
         while self.faults().dead {
             if changed.changed().await.is_err() {
@@ -259,7 +265,7 @@
         }
     }
 
-    fn wake(&self) {
+    fn notify_watches(&self) {
         self.changed.send_modify(|generation| *generation += 1);
     }
 
@@ -270,7 +276,7 @@
     }
 }
 
-/// Counts a watch as waiting for as long as it lives, also when its reader hangs up.
+/// Counts a watch as waiting until it is dropped, which also happens when its reader disconnects.
 struct WaitingWatch<'a> {
     platform: &'a Platform,
 }
@@ -288,16 +294,16 @@
     }
 }
 
-/// An answer and the era in which it was given.
+/// A response with the era of the store that it was read from.
 #[derive(Serialize)]
-pub(crate) struct EraAnswer<T> {
+pub(crate) struct EraResponse<T> {
     #[serde(skip_serializing_if = "is_first")]
     era: PlatformEra,
     #[serde(flatten)]
     answer: T,
 }
 
-/// A platform that has never come back from a copy states no era.
+/// Returns whether the platform was never restored, in which case responses have no era.
 fn is_first(era: &PlatformEra) -> bool {
     *era == 0
 }
@@ -330,13 +336,13 @@
 }
 
 #[derive(Serialize)]
-struct WatchAnswer {
+struct WatchResponse {
     revision: Version,
     changes: Vec<KeyChange>,
 }
 
 async fn list_keys(State(platform): State<Platform>, Query(query): Query<ListQuery>) -> Response {
-    platform.admit(CallKind::List).await;
+    platform.begin_call(CallKind::List).await;
     let list = platform.read(|store| KeyList {
         revision: store.revision(),
         keys: store
@@ -351,10 +357,10 @@
 }
 
 async fn read_value(State(platform): State<Platform>, Path(key): Path<String>) -> Response {
-    platform.admit(CallKind::Read).await;
-    let EraAnswer { era, answer } = platform.read(|store| store.get(&key).cloned());
+    platform.begin_call(CallKind::Read).await;
+    let EraResponse { era, answer } = platform.read(|store| store.get(&key).cloned());
     match answer {
-        Some(answer) => Json(EraAnswer { era, answer }).into_response(),
+        Some(answer) => Json(EraResponse { era, answer }).into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
 }
@@ -362,25 +368,25 @@
 async fn watch_keys(State(platform): State<Platform>, Query(query): Query<WatchQuery>) -> Response {
     let wait = MAX_WATCH.min(Duration::from_millis(query.wait_ms));
     let deadline = tokio::time::Instant::now() + wait;
-    platform.admit(CallKind::Watch).await;
+    platform.begin_call(CallKind::Watch).await;
     let _waiting = WaitingWatch::new(&platform);
     let mut changed = platform.changed.subscribe();
     loop {
-        platform.wait_until_alive().await;
+        platform.wait_until_responsive().await;
         let in_time = tokio::time::Instant::now() < deadline;
-        let EraAnswer { era, answer } = platform.read(|store| {
+        let EraResponse { era, answer } = platform.read(|store| {
             let changes = store.changes_after(&query.prefix, query.after)?;
-            Ok::<_, StoreError>(WatchAnswer {
+            Ok::<_, StoreError>(WatchResponse {
                 revision: store.revision(),
                 changes,
             })
         });
         match answer {
-            Err(_gone) => return StatusCode::GONE.into_response(),
+            Err(_history_dropped) => return StatusCode::GONE.into_response(),
             Ok(answer) if !answer.changes.is_empty() || !in_time => {
-                return Json(EraAnswer { era, answer }).into_response();
+                return Json(EraResponse { era, answer }).into_response();
             }
-            Ok(_nothing) => {}
+            Ok(_no_changes) => {}
         }
         let _timed_out = tokio::time::timeout_at(deadline, changed.changed()).await;
     }
--- a/standin/src/platform_operator.rs
+++ b/standin/src/platform_operator.rs
@@ -1,5 +1,7 @@
-//! The operators' side of the platform stand-in, which the real platform does not share with us:
-//! publishing with an expected version, faults, and counters.
+//! Serves the operators' API of the platform stand-in: conditional changes of keys, fault
+//! injection and counters.
+//!
+//! lagoonproxy does not use the corresponding API of the real platform, so the two need not match.
 
 use axum::Json;
 use axum::Router;
@@ -26,27 +28,27 @@
 
 #[derive(Deserialize)]
 struct ChangeQuery {
-    /// The version that the key must have; zero for a key that must not be there.
+    /// The version that the key must have; zero for a key that must not exist.
     expected: Option<Version>,
 }
 
-/// The answer to a change.
+/// The response to a change of a key.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ChangeAnswer {
-    /// The key's version now; absent when the change is published later.
+pub struct ChangeResponse {
+    /// The key's new version; absent if the change is published later.
     pub version: Option<Version>,
 }
 
-/// The answer to a call that was refused.
+/// The response to a call that failed.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RefusedCall {
-    /// Why, in words.
+pub struct ErrorResponse {
+    /// The error message.
     pub error: String,
-    /// After a lost race of operators, the version that the key has.
+    /// The current version of the key, after a version conflict.
     pub actual: Option<Version>,
 }
 
-/// The routes under `/operator`.
+/// Returns the routes under `/operator`.
 pub fn routes() -> Router<Platform> {
     let values = put(put_value).delete(delete_value);
     Router::new()
@@ -62,7 +64,7 @@
     Query(query): Query<ChangeQuery>,
     Json(value): Json<Value>,
 ) -> Response {
-    answer_change(platform.change(&key, Some(value), query.expected))
+    change_response(platform.change(&key, Some(value), query.expected))
 }
 
 async fn delete_value(
@@ -70,7 +72,7 @@
     Path(key): Path<String>,
     Query(query): Query<ChangeQuery>,
 ) -> Response {
-    answer_change(platform.change(&key, None, query.expected))
+    change_response(platform.change(&key, None, query.expected))
 }
 
 async fn set_faults(
@@ -79,7 +81,7 @@
 ) -> Response {
     match platform.set_faults(faults) {
         Ok(()) => Json(faults).into_response(),
-        Err(error) => refuse(error),
+        Err(error) => error_response(error),
     }
 }
 
@@ -87,20 +89,20 @@
     Json(platform.counters())
 }
 
-fn answer_change(change: Result<Option<Version>, StoreError>) -> Response {
+fn change_response(change: Result<Option<Version>, StoreError>) -> Response {
     match change {
-        Ok(version) => Json(ChangeAnswer { version }).into_response(),
-        Err(error) => refuse(error),
+        Ok(version) => Json(ChangeResponse { version }).into_response(),
+        Err(error) => error_response(error),
     }
 }
 
-fn refuse(error: StoreError) -> Response {
+fn error_response(error: StoreError) -> Response {
     let (status, actual) = match error {
         StoreError::VersionConflict { actual } => (StatusCode::CONFLICT, Some(actual)),
         StoreError::ValueTooLong => (StatusCode::PAYLOAD_TOO_LARGE, None),
-        StoreError::HistoryGone { .. } => (StatusCode::GONE, None),
+        StoreError::HistoryDropped { .. } => (StatusCode::GONE, None),
     };
-    let refused = RefusedCall {
+    let refused = ErrorResponse {
         error: error.to_string(),
         actual,
     };
--- a/standin/src/relay_bench.rs
+++ b/standin/src/relay_bench.rs
@@ -1,8 +1,8 @@
-//! Datagrams a second through one `lagoon-entry` against a bare UDP relay, in one run.
+//! Compares the datagram rate through one `lagoon-entry` with that of a bare UDP relay, in one run.
 //!
 //! Both relays are tasks of one thread, so that they run on the same core; only one has work at a
-//! time, and the rounds alternate. An upstream thread sends the parts of answers, a caller thread
-//! counts them and asks for the next answer. The window keeps socket buffers from overflowing.
+//! time, and the rounds alternate. An upstream thread sends the parts of answers; a caller thread
+//! counts them and requests the next answer. The window keeps socket buffers from overflowing.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -36,76 +36,77 @@
 
 const SERVICE: ([u8; 4], u16) = ([10, 0, 0, 1], 700);
 const SHARED_KEY: &str = "6c61676f6f6e70726f787972656c6179";
-/// Bytes of payload in a part.
+/// Bytes of payload per part.
 const PART_LEN: u32 = 1_000;
-/// Parts of an answer.
+/// Parts per answer.
 const PARTS: u32 = 200;
-/// Parts under way at once.
+/// Maximum number of parts in flight.
 const WINDOW: u64 = 48;
-/// How long a socket waits before its thread looks whether the run has ended.
-const SOCKET_PAUSE: Duration = Duration::from_millis(20);
+/// Read timeout of the sockets, after which their threads check whether the run has ended.
+const SOCKET_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What one round of one relay measured.
+/// The rates of one relay in one round.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayRate {
-    /// Datagrams a second of the wall clock.
+    /// Datagrams per second of wall clock time.
     pub per_second: f64,
-    /// Datagrams a second of processor time that the relays' thread used. It does not depend on
-    /// what else the machine does, and so is what ratios are taken of.
-    pub per_busy_second: f64,
+    /// Datagrams per second of processor time that the relays' thread used. Ratios are calculated
+    /// from this rate, since it does not depend on the machine's other load.
+    pub per_cpu_second: f64,
 }
 
-/// What one pair of rounds measured.
+/// The rates of one pair of rounds.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayRound {
-    /// Through the bare relay.
+    /// The rate of the bare relay.
     pub bare: RelayRate,
-    /// Through the entry daemon.
+    /// The rate of the entry daemon.
     pub entry: RelayRate,
 }
 
 impl RelayRound {
-    /// The entry daemon's rate over the bare relay's.
+    /// Returns the entry daemon's rate divided by the bare relay's.
     pub fn ratio(&self) -> f64 {
-        self.entry.per_busy_second / self.bare.per_busy_second
+        self.entry.per_cpu_second / self.bare.per_cpu_second
     }
 }
 
-/// What the threads share.
+/// State that the threads share.
 #[derive(Default)]
 struct RelayState {
-    /// Parts that the caller has received.
+    /// Parts that the caller has received in all rounds.
     received: AtomicU64,
     ended: AtomicBool,
 }
 
-/// Measures `rounds` pairs of rounds of `length` each.
+/// Measures `rounds` pairs of rounds, each round of duration `length`.
 ///
-/// Must be called on a runtime of one thread.
+/// Must be called on a runtime of one thread. Returns an error if a daemon cannot be started or the
+/// system does not report the thread's processor time.
 pub async fn measure_relay(
     rounds: usize,
     length: Duration,
 ) -> Result<Vec<RelayRound>, Box<dyn std::error::Error>> {
-    let upstream = any_socket()?;
+    let upstream = bind_socket()?;
     let entry_address = start_entry(upstream.local_addr()?).await?;
     let bare_socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
     let bare = bare_socket.local_addr()?;
-    let caller = any_socket()?;
+    let caller = bind_socket()?;
     let sink = caller.local_addr()?;
     tokio::spawn(relay_bare(bare_socket, sink));
     let state = Arc::new(RelayState::default());
-    let answering = Arc::clone(&state);
+    let upstream_state = Arc::clone(&state);
     let (bare_sender, bare_rounds) = std::sync::mpsc::channel();
     let upstream_thread =
-        std::thread::spawn(move || run_upstream(&upstream, &bare_rounds, bare, &answering));
+        std::thread::spawn(move || run_upstream(&upstream, &bare_rounds, bare, &upstream_state));
     let mut measured = Vec::new();
     for _round in 0..rounds {
-        let begin = busy_time()?;
-        let relayed = count_bare(&caller, &bare_sender, &state, length).await?;
-        let bare = rate(relayed, length, busy_time()? - begin);
-        let begin = busy_time()?;
-        let relayed = count_entry(&caller, entry_address, &state, length).await?;
-        let entry = rate(relayed, length, busy_time()? - begin);
+        let start = cpu_time()?;
+        let relayed = measure_bare(&caller, &bare_sender, &state, length).await?;
+        let bare = rate(relayed, length, cpu_time()? - start);
+        let start = cpu_time()?;
+        let relayed = measure_entry(&caller, entry_address, &state, length).await?;
+        let entry = rate(relayed, length, cpu_time()? - start);
         measured.push(RelayRound { bare, entry });
     }
     state.ended.store(true, Ordering::Relaxed);
@@ -114,23 +115,23 @@
     Ok(measured)
 }
 
-/// Processor time that the calling thread, which runs both relays, has used.
-fn busy_time() -> std::io::Result<Duration> {
+/// Returns the processor time that the calling thread, which runs both relays, has used.
+fn cpu_time() -> std::io::Result<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat")?;
     let nanos = text.split(' ').next().and_then(|field| field.parse().ok());
-    nanos
-        .map(Duration::from_nanos)
-        .ok_or_else(|| std::io::Error::other("the system does not tell a thread's time"))
+    nanos.map(Duration::from_nanos).ok_or_else(|| {
+        std::io::Error::other("the system does not report a thread's processor time")
+    })
 }
 
-fn rate(relayed: u64, length: Duration, busy: Duration) -> RelayRate {
+fn rate(relayed: u64, length: Duration, cpu_time_used: Duration) -> RelayRate {
     RelayRate {
         per_second: relayed as f64 / length.as_secs_f64(),
-        per_busy_second: relayed as f64 / busy.as_secs_f64(),
+        per_cpu_second: relayed as f64 / cpu_time_used.as_secs_f64(),
     }
 }
 
-/// The least that a relay does: receives, and sends on.
+/// Receives datagrams and forwards them unchanged, the minimal work of a relay.
 async fn relay_bare(socket: tokio::net::UdpSocket, sink: SocketAddr) {
     let mut buffer = [0; MAX_DATAGRAM];
     loop {
@@ -162,8 +163,8 @@
     publish(&platform, upstream, addresses.peer, control_address);
     tokio::spawn(control.run(std::future::pending()));
     tokio::spawn(entry.run(std::future::pending()));
-    let admins: Vec<SocketAddr> = addresses.admin.into_iter().collect();
-    wait_until_ready(&admins).await;
+    let admin_addresses: Vec<SocketAddr> = addresses.admin.into_iter().collect();
+    wait_until_ready(&admin_addresses).await;
     Ok(addresses.caller)
 }
 
@@ -199,14 +200,15 @@
     platform.publish("hosts/zig-a", &[host]);
 }
 
-fn any_socket() -> std::io::Result<UdpSocket> {
+fn bind_socket() -> std::io::Result<UdpSocket> {
     let socket = UdpSocket::bind("127.0.0.1:0")?;
-    socket.set_read_timeout(Some(SOCKET_PAUSE))?;
+    socket.set_read_timeout(Some(SOCKET_TIMEOUT))?;
     Ok(socket)
 }
 
-/// Has the upstream thread send parts through the bare relay until the round is over.
-async fn count_bare(
+/// Runs one round in which the upstream thread sends parts through the bare relay; returns the
+/// number of parts received.
+async fn measure_bare(
     caller: &UdpSocket,
     sender: &std::sync::mpsc::Sender<Instant>,
     state: &Arc<RelayState>,
@@ -235,8 +237,8 @@
     counted
 }
 
-/// Asks for answers through the entry daemon until the round is over.
-async fn count_entry(
+/// Runs one round of requests through the entry daemon; returns the number of parts received.
+async fn measure_entry(
     caller: &UdpSocket,
     entry: SocketAddr,
     state: &Arc<RelayState>,
@@ -248,15 +250,15 @@
         let end = Instant::now() + length;
         let mut counted = 0;
         while Instant::now() < end {
-            counted += call_once(&caller, entry, &state);
+            counted += request_once(&caller, entry, &state);
         }
         counted
     });
     Ok(calling.await?)
 }
 
-/// One request and its whole answer; the number of parts received.
-fn call_once(caller: &UdpSocket, entry: SocketAddr, state: &RelayState) -> u64 {
+/// Sends one request and receives its answer; returns the number of parts received.
+fn request_once(caller: &UdpSocket, entry: SocketAddr, state: &RelayState) -> u64 {
     let request = state.received.load(Ordering::Relaxed) + 1;
     let body = CallerBody::Request(RequestBody {
         request,
@@ -293,7 +295,7 @@
     }
 }
 
-/// Answers requests, and fills the rounds of the bare relay with parts of the same size.
+/// Answers requests, and in the rounds of the bare relay sends parts of the same size.
 fn run_upstream(
     socket: &UdpSocket,
     bare_rounds: &std::sync::mpsc::Receiver<Instant>,
@@ -344,7 +346,7 @@
     end: Option<Instant>,
 ) {
     let payload = Bytes::from(vec![b'.'; PART_LEN as usize]);
-    let begin = state.received.load(Ordering::Relaxed);
+    let start = state.received.load(Ordering::Relaxed);
     for index in 0..PARTS {
         let part = AnswerPart {
             request: tag.request,
@@ -357,7 +359,7 @@
         let Ok(bytes) = wire_frame::encode_upstream(&UpstreamFrame { tag, body }) else {
             return;
         };
-        while u64::from(index) >= state.received.load(Ordering::Relaxed) - begin + WINDOW {
+        while u64::from(index) >= state.received.load(Ordering::Relaxed) - start + WINDOW {
             let over = end.is_some_and(|end| Instant::now() >= end);
             if over || state.ended.load(Ordering::Relaxed) {
                 return;
--- a/standin/src/run_records.rs
+++ b/standin/src/run_records.rs
@@ -1,42 +1,44 @@
-//! What upstream stand-ins ran, so that double runs, foreign frames and false refusals are seen.
+//! Records the requests that upstream stand-ins started, so that tests find double runs, foreign
+//! frames, and requests that ran although they were reported as not run.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::answer_content::AnswerIdentity;
+use crate::answer_content::RequestIdentity;
 
-/// The runs of one request on one or all upstreams.
+/// The runs of one request on one upstream or on all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunCount {
-    /// How often it was started.
+    /// How often the request was started.
     pub runs: u32,
-    /// Whether running it twice does no harm.
+    /// Whether the request is idempotent.
     pub idempotent: bool,
-    /// Whether an upstream started it that does not serve the service it was meant for.
+    /// Whether an upstream started the request although it was addressed to another service,
+    /// upstream or incarnation.
     pub foreign: bool,
 }
 
-/// A request and its runs.
+/// A request with its runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunEntry {
-    /// The request; its service is the one it was meant for.
-    pub request: AnswerIdentity,
-    /// Its runs.
+    /// The request; its service is the one that it was addressed to.
+    pub request: RequestIdentity,
+    /// The runs of the request.
     pub count: RunCount,
 }
 
-/// Totals of one or all upstreams.
+/// Totals of one upstream or of all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTotals {
     /// Requests started, each run counted.
     pub started: u64,
     /// Answers sent.
     pub answered: u64,
-    /// Requests not started for want of a slot.
+    /// Requests not started because no slot was free and the queue was full.
     pub shed: u64,
-    /// Requests not started because of a drain.
+    /// Requests not started because the upstream was draining.
     pub draining: u64,
     /// Requests not started because their deadline had passed.
     pub deadline_passed: u64,
@@ -44,27 +46,28 @@
     pub cancelled_waiting: u64,
     /// Requests cancelled while they ran.
     pub cancelled_running: u64,
-    /// Frames of any kind for a service or incarnation that the upstream does not serve.
+    /// Frames of any kind addressed to a service, upstream or incarnation that is not the
+    /// receiver's.
     pub foreign_frames: u64,
     /// Flows opened.
     pub opened: u64,
-    /// Flows refused for want of a connection.
+    /// Flows refused because the maximum number was open.
     pub opens_refused: u64,
-    /// Most requests run at once.
+    /// Maximum number of concurrent requests on one upstream.
     pub most_busy: u32,
 }
 
-/// The runs of one or all upstreams.
+/// The runs of one upstream or of all of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunRecords {
-    /// Totals.
+    /// Totals over all requests and flows.
     pub totals: RunTotals,
-    requests: BTreeMap<AnswerIdentity, RunCount>,
+    requests: BTreeMap<RequestIdentity, RunCount>,
 }
 
 impl RunRecords {
     /// Records that a request was started.
-    pub fn start(&mut self, request: AnswerIdentity, idempotent: bool, foreign: bool) {
+    pub fn start(&mut self, request: RequestIdentity, idempotent: bool, foreign: bool) {
         self.totals.started += 1;
         let count = self.requests.entry(request).or_default();
         count.runs += 1;
@@ -72,7 +75,7 @@
         count.foreign |= foreign;
     }
 
-    /// Adds what another upstream ran.
+    /// Adds the records of another upstream.
     pub fn merge(&mut self, totals: RunTotals, entries: impl IntoIterator<Item = RunEntry>) {
         self.totals.add(totals);
         for RunEntry { request, count } in entries {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// The runs of each request, in ascending order.
+    /// Returns the runs of each request, in ascending order of the requests.
     pub fn entries(&self) -> impl Iterator<Item = RunEntry> + '_ {
         self.requests.iter().map(|(request, count)| RunEntry {
             request: *request,
@@ -91,18 +94,18 @@
         })
     }
 
-    /// How often a request was started.
-    pub fn runs_of(&self, request: &AnswerIdentity) -> u32 {
+    /// Returns how often a request was started.
+    pub fn run_count(&self, request: &RequestIdentity) -> u32 {
         self.requests.get(request).map_or(0, |count| count.runs)
     }
 
-    /// The requests that may not run twice and did.
+    /// Returns the requests that are not idempotent and were started more than once.
     pub fn double_runs(&self) -> impl Iterator<Item = RunEntry> + '_ {
         self.entries()
             .filter(|entry| entry.count.runs > 1 && !entry.count.idempotent)
     }
 
-    /// The requests that an upstream of another service started.
+    /// Returns the requests that were started by an upstream other than the one addressed.
     pub fn foreign_runs(&self) -> impl Iterator<Item = RunEntry> + '_ {
         self.entries().filter(|entry| entry.count.foreign)
     }
--- a/standin/src/service_time.rs
+++ b/standin/src/service_time.rs
@@ -1,4 +1,4 @@
-//! How long upstream stand-ins work on a request: seeded distributions, and the cold start.
+//! Defines the service times of upstream stand-ins: seeded distributions and the cold start.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,40 +12,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ServiceTime {
-    /// Always the same.
+    /// A constant service time.
     Fixed {
-        /// Milliseconds.
+        /// The service time in milliseconds.
         ms: f64,
     },
-    /// Exponential: many short, few long.
+    /// An exponential distribution.
     Exponential {
         /// Mean in milliseconds.
         mean_ms: f64,
     },
-    /// Two kinds of requests.
+    /// A mix of short and long requests, each with a constant service time.
     Bimodal {
-        /// Milliseconds of a short one.
+        /// Service time of a short request in milliseconds.
         short_ms: f64,
-        /// Milliseconds of a long one.
+        /// Service time of a long request in milliseconds.
         long_ms: f64,
-        /// Share of the long ones, 0 to 1.
+        /// Share of long requests, from 0 to 1.
         long_share: f64,
     },
 }
 
-/// How much slower an upstream is just after its start.
+/// Slowdown of an upstream after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdStart {
-    /// Milliseconds until it is as fast as it gets.
+    /// Time in milliseconds until the upstream has its full speed.
     pub lasts_ms: u64,
-    /// How many times longer the first request takes; falls to one linearly.
+    /// Factor on service times at the start; it falls linearly to one.
     pub factor: f64,
 }
 
 impl ServiceTime {
-    /// Draws a service time.
-    pub fn draw(&self, random: &mut StdRng) -> Duration {
+    /// Returns a random service time.
+    pub fn sample(&self, random: &mut StdRng) -> Duration {
         let ms = match *self {
             Self::Fixed { ms } => ms,
             Self::Exponential { mean_ms } => -mean_ms * (1.0 - random.random::<f64>()).ln(),
@@ -66,7 +66,7 @@
 }
 
 impl ColdStart {
-    /// The factor on service times at `now` of an upstream that began at `start`.
+    /// Returns the factor on service times at `now` for an upstream that started at `start`.
     pub fn factor_at(&self, start: Instant, now: Instant) -> f64 {
         let lasts = Duration::from_millis(self.lasts_ms);
         let elapsed = now.saturating_duration_since(start);
--- a/standin/src/upstream.rs
+++ b/standin/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-in for an upstream: [`crate::upstream_core`] behind a UDP socket, and its endpoints.
+//! Runs an upstream stand-in: [`crate::upstream_core`] on a UDP socket, with HTTP endpoints.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,25 +23,25 @@
 use crate::run_records::RunEntry;
 use crate::run_records::RunRecords;
 use crate::run_records::RunTotals;
-use crate::upstream_core::LoadReport;
 use crate::upstream_core::UpstreamBehaviour;
 use crate::upstream_core::UpstreamCore;
+use crate::upstream_core::UpstreamLoad;
 use crate::upstream_core::UpstreamReply;
 use crate::upstream_core::UpstreamSettings;
 
-/// How long an idle upstream sleeps when no datagram arrives.
-const IDLE_PAUSE: Duration = Duration::from_secs(60);
+/// Maximum time that an idle upstream sleeps without a datagram.
+const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// What `GET /standin/runs` answers.
+/// The response of `GET /standin/runs`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RunReport {
-    /// Totals.
+    /// Totals over all requests and flows.
     pub totals: RunTotals,
-    /// Each request that was started.
+    /// The runs of each request that was started.
     pub requests: Vec<RunEntry>,
 }
 
-/// A running upstream as tests see it; clones share it.
+/// A handle on an upstream for tests; clones refer to the same upstream.
 #[derive(Clone)]
 pub struct UpstreamHandle {
     core: Arc<Mutex<UpstreamCore>>,
@@ -55,12 +55,12 @@
 }
 
 impl UpstreamHandle {
-    /// Changes how the upstream behaves.
+    /// Replaces the upstream's behaviour.
     pub fn set_behaviour(&self, behaviour: UpstreamBehaviour) {
         self.lock().set_behaviour(behaviour);
     }
 
-    /// A copy of what it ran so far.
+    /// Returns a copy of the upstream's run records.
     pub fn records(&self) -> RunRecords {
         self.lock().records().clone()
     }
@@ -73,7 +73,7 @@
 }
 
 impl Upstream {
-    /// Binds the addresses that the settings name.
+    /// Binds the addresses of the settings.
     pub async fn bind(settings: UpstreamSettings) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(settings.address).await?;
         let listener = TcpListener::bind(settings.health_address).await?;
@@ -87,22 +87,22 @@
         })
     }
 
-    /// Where it receives datagrams.
+    /// Returns the address on which datagrams are received.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Where its endpoints answer.
+    /// Returns the address of the HTTP endpoints.
     pub fn health_address(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// What tests use beside the sockets.
+    /// Returns a handle on the upstream.
     pub fn handle(&self) -> UpstreamHandle {
         self.handle.clone()
     }
 
-    /// Serves until the task is aborted.
+    /// Serves datagrams and endpoints until the task is aborted or a socket fails.
     pub async fn run(self) -> std::io::Result<()> {
         let router = Router::new()
             .route("/health", get(read_health))
@@ -122,14 +122,14 @@
     let mut replies = Vec::new();
     loop {
         let next = handle.lock().next_deadline();
-        let deadline = next.unwrap_or_else(|| Instant::now() + IDLE_PAUSE);
+        let deadline = next.unwrap_or_else(|| Instant::now() + MAX_SLEEP);
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 let Ok((len, host)) = received else {
                     continue;
                 };
                 if let Ok(frame) = wire_frame::decode_upstream(&buffer[..len]) {
-                    handle.lock().take(Instant::now(), host, frame, &mut replies);
+                    handle.lock().handle_frame(Instant::now(), host, frame, &mut replies);
                 }
             }
             () = tokio::time::sleep_until(deadline.into()) => {}
@@ -146,20 +146,20 @@
         Ok(bytes) => {
             let _lost = socket.send_to(&bytes, reply.host).await;
         }
-        Err(code) => log::error!("cannot encode a reply: {code:?}"),
+        Err(code) => log::error!("cannot encode a reply to a host: {code:?}"),
     }
 }
 
 async fn read_health(State(upstream): State<UpstreamHandle>) -> StatusCode {
-    if upstream.lock().claims_health() {
+    if upstream.lock().reports_healthy() {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     }
 }
 
-async fn read_load(State(upstream): State<UpstreamHandle>) -> Json<LoadReport> {
-    Json(upstream.lock().claimed_load(Instant::now()))
+async fn read_load(State(upstream): State<UpstreamHandle>) -> Json<UpstreamLoad> {
+    Json(upstream.lock().reported_load(Instant::now()))
 }
 
 async fn read_runs(State(upstream): State<UpstreamHandle>) -> Json<RunReport> {
--- a/standin/src/upstream_core.rs
+++ b/standin/src/upstream_core.rs
@@ -1,6 +1,7 @@
-//! What an upstream stand-in does with frames, without sockets: slots, a bounded queue, shedding,
-//! cancellation, deadlines, drain. It never compares a request with earlier ones, so that each
-//! second copy that the system lets through is run and counted.
+//! Implements the upstream stand-in without sockets: slots, a bounded queue, load shedding,
+//! cancellation, deadlines and draining.
+//!
+//! Requests are not deduplicated, so every duplicate that lagoonproxy forwards is run and counted.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -10,7 +11,7 @@
 
 use bytes::Bytes;
 use lagoonproxy::ids::FlowId;
-use lagoonproxy::ids::Incarnation;
+use lagoonproxy::ids::Generation;
 use lagoonproxy::ids::ServiceAddress;
 use lagoonproxy::ids::UpstreamId;
 use lagoonproxy::wire_frame::AnswerPart;
@@ -23,87 +24,88 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::answer_content::AnswerIdentity;
-use crate::answer_content::JobOrder;
+use crate::answer_content::PayloadSpec;
+use crate::answer_content::RequestIdentity;
 use crate::run_records::RunRecords;
 use crate::service_time::ColdStart;
 use crate::service_time::ServiceTime;
 
-/// Bytes of payload in each part of an answer.
+/// Maximum number of payload bytes in a part of an answer.
 const PART_LEN: usize = 1_000;
-/// Time to come back that a drain or a full table of flows names.
-const LONG_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay that is sent while the upstream drains or has no free connection, and when no
+/// request is running.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Settings of an upstream stand-in.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSettings {
-    /// Its published number.
+    /// The published number of the upstream.
     pub id: UpstreamId,
-    /// Where it receives datagrams; port 0 lets the system choose.
+    /// Address on which datagrams are received; port 0 lets the system choose.
     #[serde(default = "any_port")]
     pub address: SocketAddr,
-    /// Where its endpoints answer.
+    /// Address of the HTTP endpoints; port 0 lets the system choose.
     #[serde(default = "any_port")]
     pub health_address: SocketAddr,
-    /// The addresses of the services that it serves; frames for others are foreign.
+    /// Addresses of the services that the upstream serves; frames for others are foreign.
     pub services: Vec<ServiceAddress>,
-    /// Its published incarnation.
+    /// The published incarnation of the upstream.
     #[serde(default)]
-    pub incarnation: Incarnation,
-    /// Requests that it runs at once.
+    pub incarnation: Generation,
+    /// Maximum number of concurrent requests.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Requests that may wait for a slot; with zero it sheds at once.
+    /// Maximum number of requests that wait for a slot; with zero they are shed immediately.
     #[serde(default)]
     pub queue: usize,
-    /// Flows that it holds at once.
+    /// Maximum number of open flows.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// How long it works on a request.
+    /// Distribution of the service time of requests.
     #[serde(default = "default_service_time")]
     pub service_time: ServiceTime,
-    /// How slow it is at first.
+    /// Slowdown after the start, if any.
     #[serde(default)]
     pub cold_start: Option<ColdStart>,
-    /// Seed of its service times.
+    /// Seed of the service times.
     #[serde(default)]
     pub seed: u64,
 }
 
-/// What a test may change of a running upstream; a call replaces all of it.
+/// Behaviour that a test may change while the upstream runs; a call replaces all of it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct UpstreamBehaviour {
-    /// It starts nothing new.
+    /// The upstream starts no new requests.
     pub draining: bool,
-    /// It sheds every request.
+    /// The upstream sheds every request.
     pub shedding: bool,
-    /// The services that it serves from now on, if given.
+    /// The services that the upstream serves from now on, if given.
     pub services: Option<Vec<ServiceAddress>>,
-    /// Times that a request takes longer than its service time, if given.
+    /// Factor by which service times are multiplied, if given.
     pub slowdown: Option<f64>,
-    /// Age in milliseconds of what the endpoints say.
+    /// Age in milliseconds of the reported load.
     pub report_lag_ms: u64,
-    /// What the health endpoint says whatever is true.
+    /// Overrides the health that the health endpoint reports.
     pub claimed_health: Option<bool>,
-    /// What the load endpoint says whatever is true.
+    /// Overrides the number of busy slots that the load endpoint reports.
     pub claimed_busy: Option<u32>,
 }
 
-/// What the load endpoint says.
+/// The response of the load endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadReport {
-    /// Slots that run a request.
+pub struct UpstreamLoad {
+    /// Number of slots that run a request.
     pub busy_slots: u32,
-    /// Flows held.
+    /// Number of open flows.
     pub connections: u32,
 }
 
-/// A frame to be sent.
+/// A frame to be sent to a host.
 #[derive(Clone, Debug)]
 pub struct UpstreamReply {
-    /// The host that asked.
+    /// The host that sent the request.
     pub host: SocketAddr,
     /// The frame.
     pub frame: UpstreamFrame,
@@ -111,44 +113,46 @@
 
 /// A request that waits for a slot or runs.
 #[derive(Clone, Debug)]
-struct UpstreamJob {
+struct UpstreamRequest {
     host: SocketAddr,
     tag: RoutingTag,
     payload: Bytes,
     idempotent: bool,
-    /// When it must not be started any more.
+    /// Time after which the request must not be started.
     deadline: Instant,
 }
 
-/// A request that runs.
+/// A request that is running.
 #[derive(Clone, Debug)]
-struct RunningJob {
-    job: UpstreamJob,
-    done_deadline: Instant,
+struct RunningRequest {
+    request: UpstreamRequest,
+    finish_time: Instant,
 }
 
-/// A flow as the upstream knows it.
+/// Identifies a flow: the service, the caller and the flow's number.
 type FlowKey = (ServiceAddress, SocketAddr, FlowId);
 
-/// The upstream itself.
+/// An upstream that reads no clock and has no sockets.
 ///
-/// Invariant: `running` has at most `settings.slots` entries, `waiting` at most `settings.queue`.
+/// Invariant between calls: `running` has at most `settings.slots` entries and `waiting` at most
+/// `settings.queue`.
 pub struct UpstreamCore {
     settings: UpstreamSettings,
     behaviour: UpstreamBehaviour,
     start: Instant,
     random: StdRng,
     connections: HashSet<FlowKey>,
-    waiting: VecDeque<UpstreamJob>,
-    running: Vec<RunningJob>,
-    /// Attempts whose cancellation overtook them.
+    waiting: VecDeque<UpstreamRequest>,
+    running: Vec<RunningRequest>,
+    /// Attempts whose cancellation arrived before the request.
     cancelled: HashSet<RoutingTag>,
     records: RunRecords,
-    reports: VecDeque<(Instant, LoadReport)>,
+    /// Changes of the load, with their times, for as long as a lagging report needs them.
+    reports: VecDeque<(Instant, UpstreamLoad)>,
 }
 
 impl UpstreamCore {
-    /// An upstream that starts at `now`.
+    /// Returns an idle upstream that starts at `now`.
     pub fn new(settings: UpstreamSettings, now: Instant) -> Self {
         Self {
             random: StdRng::seed_from_u64(settings.seed ^ u64::from(settings.id)),
@@ -164,8 +168,8 @@
         }
     }
 
-    /// Takes a frame of a host.
-    pub fn take(
+    /// Handles a frame from a host and adds the frames to be sent to `replies`.
+    pub fn handle_frame(
         &mut self,
         now: Instant,
         host: SocketAddr,
@@ -186,45 +190,42 @@
                 idempotent,
                 payload,
             } => {
-                let job = UpstreamJob {
+                let request = UpstreamRequest {
                     host,
                     tag,
                     payload,
                     idempotent,
                     deadline: now + remaining,
                 };
-                self.admit(now, job, replies);
+                self.admit(now, request, replies);
             }
             UpstreamBody::Cancel => self.cancel(now, host, tag, replies),
             UpstreamBody::Started | UpstreamBody::NotStarted { .. } | UpstreamBody::Part(_) => {}
         }
-        self.note_load(now);
+        self.record_load(now);
     }
 
-    /// Ends what is done at `now` and starts what waits.
+    /// Completes the requests that are due at `now` and starts waiting ones.
     pub fn advance(&mut self, now: Instant, replies: &mut Vec<UpstreamReply>) {
         let mut index = 0;
         while index < self.running.len() {
-            if self.running[index].done_deadline > now {
+            if self.running[index].finish_time > now {
                 index += 1;
                 continue;
             }
             let done = self.running.swap_remove(index);
-            self.answer(&done.job, replies);
+            self.answer(&done.request, replies);
         }
         self.fill_slots(now, replies);
-        self.note_load(now);
+        self.record_load(now);
     }
 
-    /// When [`Self::advance`] has something to do next.
+    /// Returns when [`Self::advance`] next has a request to complete, or `None` if none is running.
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.running
-            .iter()
-            .map(|running| running.done_deadline)
-            .min()
+        self.running.iter().map(|running| running.finish_time).min()
     }
 
-    /// Replaces what tests may change.
+    /// Replaces the behaviour that tests may change.
     pub fn set_behaviour(&mut self, behaviour: UpstreamBehaviour) {
         if let Some(services) = &behaviour.services {
             self.settings.services.clone_from(services);
@@ -232,23 +233,23 @@
         self.behaviour = behaviour;
     }
 
-    /// What it ran.
+    /// Returns the records of the requests that were started.
     pub fn records(&self) -> &RunRecords {
         &self.records
     }
 
-    /// Whether the health endpoint says that it is healthy.
-    pub fn claims_health(&self) -> bool {
+    /// Returns whether the health endpoint reports the upstream as healthy.
+    pub fn reports_healthy(&self) -> bool {
         let healthy = !self.behaviour.draining;
         self.behaviour.claimed_health.unwrap_or(healthy)
     }
 
-    /// What the load endpoint says at `now`.
-    pub fn claimed_load(&self, now: Instant) -> LoadReport {
+    /// Returns the load that the load endpoint reports at `now`.
+    pub fn reported_load(&self, now: Instant) -> UpstreamLoad {
         let lag = Duration::from_millis(self.behaviour.report_lag_ms);
         let known = self.reports.iter().rev().find(|(at, _)| *at + lag <= now);
-        let report = known.map_or(LoadReport::default(), |(_, report)| *report);
-        LoadReport {
+        let report = known.map_or(UpstreamLoad::default(), |(_, report)| *report);
+        UpstreamLoad {
             busy_slots: self.behaviour.claimed_busy.unwrap_or(report.busy_slots),
             ..report
         }
@@ -259,7 +260,7 @@
         let is_full = self.connections.len() >= self.settings.connections;
         if is_full && !self.connections.contains(&key) {
             self.records.totals.opens_refused += 1;
-            replies.push(not_started(host, tag, NotStartedReason::Shed, LONG_RETRY));
+            replies.push(not_started(host, tag, NotStartedReason::Shed, RETRY_AFTER));
             return;
         }
         if self.connections.insert(key) {
@@ -267,24 +268,24 @@
         }
     }
 
-    fn admit(&mut self, now: Instant, job: UpstreamJob, replies: &mut Vec<UpstreamReply>) {
-        let refusal = if self.cancelled.remove(&job.tag) {
+    fn admit(&mut self, now: Instant, request: UpstreamRequest, replies: &mut Vec<UpstreamReply>) {
+        let rejection = if self.cancelled.remove(&request.tag) {
             Some((NotStartedReason::Cancelled, Duration::ZERO))
         } else if self.behaviour.draining {
-            Some((NotStartedReason::Draining, LONG_RETRY))
-        } else if job.deadline <= now {
+            Some((NotStartedReason::Draining, RETRY_AFTER))
+        } else if request.deadline <= now {
             Some((NotStartedReason::DeadlinePassed, Duration::ZERO))
         } else if self.behaviour.shedding || self.is_full() {
             Some((NotStartedReason::Shed, self.time_to_free_slot(now)))
         } else {
             None
         };
-        let Some((reason, retry_after)) = refusal else {
-            self.waiting.push_back(job);
+        let Some((reason, retry_after)) = rejection else {
+            self.waiting.push_back(request);
             return self.fill_slots(now, replies);
         };
-        self.count_refusal(reason);
-        replies.push(not_started(job.host, job.tag, reason, retry_after));
+        self.count_not_started(reason);
+        replies.push(not_started(request.host, request.tag, reason, retry_after));
     }
 
     fn is_full(&self) -> bool {
@@ -294,43 +295,54 @@
 
     fn time_to_free_slot(&self, now: Instant) -> Duration {
         let next = self.next_deadline();
-        next.map_or(LONG_RETRY, |next| next.saturating_duration_since(now))
+        next.map_or(RETRY_AFTER, |next| next.saturating_duration_since(now))
     }
 
     fn fill_slots(&mut self, now: Instant, replies: &mut Vec<UpstreamReply>) {
         while self.running.len() < self.settings.slots as usize {
-            let Some(job) = self.waiting.pop_front() else {
+            let Some(request) = self.waiting.pop_front() else {
                 return;
             };
-            if job.deadline <= now {
+            if request.deadline <= now {
                 let reason = NotStartedReason::DeadlinePassed;
-                self.count_refusal(reason);
-                replies.push(not_started(job.host, job.tag, reason, Duration::ZERO));
+                self.count_not_started(reason);
+                replies.push(not_started(
+                    request.host,
+                    request.tag,
+                    reason,
+                    Duration::ZERO,
+                ));
                 continue;
             }
-            self.start_job(now, job, replies);
+            self.start_request(now, request, replies);
         }
     }
 
-    fn start_job(&mut self, now: Instant, job: UpstreamJob, replies: &mut Vec<UpstreamReply>) {
-        let foreign = self.is_foreign(&job.tag);
-        let request = identity(&job.tag, job.tag.service);
-        self.records.start(request, job.idempotent, foreign);
-        let drawn = self.settings.service_time.draw(&mut self.random);
+    fn start_request(
+        &mut self,
+        now: Instant,
+        request: UpstreamRequest,
+        replies: &mut Vec<UpstreamReply>,
+    ) {
+        let foreign = self.is_foreign(&request.tag);
+        let identity = request_identity(&request.tag, request.tag.service);
+        self.records.start(identity, request.idempotent, foreign);
+        let sampled = self.settings.service_time.sample(&mut self.random);
         let cold = self.settings.cold_start;
         let cold_factor = cold.map_or(1.0, |cold| cold.factor_at(self.start, now));
         let slowdown = self.behaviour.slowdown.unwrap_or(1.0);
-        let work = drawn.mul_f64(cold_factor * slowdown) + JobOrder::of_payload(&job.payload).work;
+        let work = sampled.mul_f64(cold_factor * slowdown)
+            + PayloadSpec::from_payload(&request.payload).work;
         replies.push(UpstreamReply {
-            host: job.host,
+            host: request.host,
             frame: UpstreamFrame {
-                tag: job.tag,
+                tag: request.tag,
                 body: UpstreamBody::Started,
             },
         });
-        self.running.push(RunningJob {
-            job,
-            done_deadline: now + work,
+        self.running.push(RunningRequest {
+            request,
+            finish_time: now + work,
         });
         let busy = self.running.len() as u32;
         self.records.totals.most_busy = self.records.totals.most_busy.max(busy);
@@ -343,49 +355,49 @@
         tag: RoutingTag,
         replies: &mut Vec<UpstreamReply>,
     ) {
-        if let Some(index) = self.waiting.iter().position(|job| job.tag == tag) {
+        if let Some(index) = self.waiting.iter().position(|request| request.tag == tag) {
             self.waiting.remove(index);
             let reason = NotStartedReason::Cancelled;
-            self.count_refusal(reason);
+            self.count_not_started(reason);
             replies.push(not_started(host, tag, reason, Duration::ZERO));
             return;
         }
         if let Some(index) = self
             .running
             .iter()
-            .position(|running| running.job.tag == tag)
+            .position(|running| running.request.tag == tag)
         {
             self.running.swap_remove(index);
             self.records.totals.cancelled_running += 1;
             self.fill_slots(now, replies);
             return;
         }
-        if self.records.runs_of(&identity(&tag, tag.service)) == 0 {
+        if self.records.run_count(&request_identity(&tag, tag.service)) == 0 {
             self.cancelled.insert(tag);
         }
     }
 
-    fn answer(&mut self, job: &UpstreamJob, replies: &mut Vec<UpstreamReply>) {
+    fn answer(&mut self, request: &UpstreamRequest, replies: &mut Vec<UpstreamReply>) {
         self.records.totals.answered += 1;
-        let meant = job.tag.service;
-        let own = self.settings.services.first().copied().unwrap_or(meant);
-        let served = self.settings.services.contains(&meant);
-        let service = if served { meant } else { own };
-        let answer = Bytes::from(identity(&job.tag, service).answer(&job.payload));
+        let requested = request.tag.service;
+        let first_service = self.settings.services.first().copied().unwrap_or(requested);
+        let served = self.settings.services.contains(&requested);
+        let service = if served { requested } else { first_service };
+        let answer = Bytes::from(request_identity(&request.tag, service).answer(&request.payload));
         let total = answer.len() as u32;
         for offset in (0..answer.len()).step_by(PART_LEN) {
             let end = answer.len().min(offset + PART_LEN);
             let part = AnswerPart {
-                request: job.tag.request,
-                run: job.tag.run_id(),
+                request: request.tag.request,
+                run: request.tag.run_id(),
                 offset: offset as u32,
                 total,
                 payload: answer.slice(offset..end),
             };
             replies.push(UpstreamReply {
-                host: job.host,
+                host: request.host,
                 frame: UpstreamFrame {
-                    tag: job.tag,
+                    tag: request.tag,
                     body: UpstreamBody::Part(part),
                 },
             });
@@ -398,7 +410,7 @@
             || tag.incarnation != self.settings.incarnation
     }
 
-    fn count_refusal(&mut self, reason: NotStartedReason) {
+    fn count_not_started(&mut self, reason: NotStartedReason) {
         let totals = &mut self.records.totals;
         match reason {
             NotStartedReason::Shed | NotStartedReason::WrongUpstream => totals.shed += 1,
@@ -408,9 +420,9 @@
         }
     }
 
-    /// Keeps what the load endpoint says for as long as it may lag.
-    fn note_load(&mut self, now: Instant) {
-        let report = LoadReport {
+    /// Records a change of the load, and drops those that are older than the report lag needs.
+    fn record_load(&mut self, now: Instant) {
+        let report = UpstreamLoad {
             busy_slots: self.running.len() as u32,
             connections: self.connections.len() as u32,
         };
@@ -428,8 +440,8 @@
     (tag.service, tag.caller, tag.flow)
 }
 
-fn identity(tag: &RoutingTag, service: ServiceAddress) -> AnswerIdentity {
-    AnswerIdentity {
+fn request_identity(tag: &RoutingTag, service: ServiceAddress) -> RequestIdentity {
+    RequestIdentity {
         service,
         caller: tag.caller,
         flow: tag.flow,
--- a/standin/tests/runner.rs
+++ b/standin/tests/runner.rs
@@ -1,4 +1,5 @@
-//! Tests of the whole path over loopback, in one program so that linking is fast.
+//! Tests of the stand-ins and of the whole path over loopback. All are in one program, which links
+//! faster than several.
 
 mod test_control_plane;
 mod test_platform;
--- a/standin/tests/test_control_plane.rs
+++ b/standin/tests/test_control_plane.rs
@@ -1,4 +1,4 @@
-//! Control daemons against the platform stand-in and against each other, over loopback.
+//! Tests control daemons with the platform stand-in and with each other, over loopback.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use serde_json::Value;
 use tokio::task::JoinHandle;
 
-/// Longest time that an event is waited for; far more than it takes.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Maximum time to wait for an event; events normally take far less.
+const TIMEOUT: Duration = Duration::from_secs(60);
 const KEY: [u8; 16] = [7; 16];
 
-/// A control daemon of a test.
+/// A running control daemon; its task is aborted when it is dropped.
 struct TestDaemon {
     entry: HostEntry,
     admin: SocketAddr,
@@ -81,7 +81,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let waited = tokio::time::timeout(LIMIT, waiting).await;
+        let waited = tokio::time::timeout(TIMEOUT, waiting).await;
         assert!(waited.is_ok(), "{what}: {}", self.status().await);
     }
 }
@@ -96,9 +96,9 @@
     platform.publish("services/main/0", &[service]);
 }
 
-/// The platform goes away for good just after two hosts read it. A third host starts: it can only
-/// learn from the two, whose addresses its settings name. Another user's host, with another key,
-/// must learn nothing.
+/// The platform fails permanently after two hosts have read it, and a third host starts. It must
+/// get the configuration from the two, whose addresses are in its settings. A host with another
+/// shared key must get nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_host_without_platform_learns_from_peers_with_its_key() {
     let platform = Platform::default();
@@ -119,45 +119,52 @@
             ..PlatformFaults::default()
         })
         .unwrap();
-    let stranger = TestDaemon::start(4, address, [8; 16], &[&first, &second]).await;
+    let foreign_host = TestDaemon::start(4, address, [8; 16], &[&first, &second]).await;
     let third = TestDaemon::start(3, address, KEY, &[&first, &second]).await;
     third
-        .wait_for("learns from peers", |status| status["version"] == 2)
+        .wait_for("gets the configuration from peers", |status| {
+            status["version"] == 2
+        })
         .await;
-    let status = stranger.status().await;
+    let status = foreign_host.status().await;
     assert_eq!(status["links"], 0);
     assert_eq!(status["ready"], false);
 }
 
-/// One of two hosts loses the platform, and an operator changes a selector: the other host passes
-/// it on. A faulty selector afterwards is refused by both, and what was accepted stays in force.
+/// One of two hosts cannot reach the platform. Changes of a selector must reach it through the
+/// other host. Both hosts must reject an invalid selector and keep the configuration in force.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_change_reaches_host_cut_from_platform() {
+async fn test_change_reaches_host_without_platform_through_peer() {
     let platform = Platform::default();
     let address = platform.start().await.unwrap();
     let nowhere = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let first = TestDaemon::start(1, address, KEY, &[]).await;
-    let cut = TestDaemon::start(2, nowhere.local_addr().unwrap(), KEY, &[&first]).await;
-    let entries = [&first, &cut].map(|daemon| daemon.entry.clone());
+    let partitioned = TestDaemon::start(2, nowhere.local_addr().unwrap(), KEY, &[&first]).await;
+    let entries = [&first, &partitioned].map(|daemon| daemon.entry.clone());
     platform.publish("hosts/zig-a", &entries);
     publish_service(&platform, "service=ledger");
-    cut.wait_for("first", |status| status["version"] == 2).await;
+    partitioned
+        .wait_for("gets the first selector", |status| status["version"] == 2)
+        .await;
     publish_service(&platform, "service=ledger,tier=a");
-    cut.wait_for("changed", |status| status["version"] == 3)
+    partitioned
+        .wait_for("gets the changed selector", |status| status["version"] == 3)
         .await;
     publish_service(&platform, "service ! ledger");
-    for daemon in [&first, &cut] {
+    for daemon in [&first, &partitioned] {
         daemon
-            .wait_for("refused", |status| status["refused"] == 1)
+            .wait_for("rejects the invalid selector", |status| {
+                status["refused"] == 1
+            })
             .await;
         assert_eq!(daemon.status().await["version"], 3);
     }
 }
 
-/// The platform comes back from a copy that lacks the last changes, and gives out their revisions again.
+/// The platform is restored from a backup that lacks the last changes, and assigns their revisions
+/// again. Guards against a reader that continues from a revision that was assigned twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_changes_of_a_restored_platform_are_applied() {
-    // Guards against a reader that goes on from a revision that the platform has given out twice.
+async fn test_changes_after_a_restore_are_applied() {
     let platform = Platform::default();
     let address = platform.start().await.unwrap();
     let first = TestDaemon::start(1, address, KEY, &[]).await;
@@ -172,7 +179,7 @@
     platform.restore(2).unwrap();
     publish_service(&platform, "service=ledger,tier=again");
     first
-        .wait_for("reads what came after the return", |status| {
+        .wait_for("reads the change after the restore", |status| {
             status["version"] == compose_version(1, 3).unwrap()
         })
         .await;
--- a/standin/tests/test_platform.rs
+++ b/standin/tests/test_platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in keeps to the protocol that the control daemon is written against.
+//! Tests that the platform stand-in implements the protocol that control daemons use.
 
 use std::time::Duration;
 
@@ -43,14 +43,14 @@
             answer: Ok(1),
         },
         ChangeCase {
-            name: "another key has its own version of the one counter",
+            name: "keys share one version counter",
             key: "b",
             value: Some(json!(1)),
             expected: None,
             answer: Ok(2),
         },
         ChangeCase {
-            name: "operator who lost a race",
+            name: "version conflict",
             key: "a",
             value: Some(json!(2)),
             expected: Some(2),
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn test_watch_before_the_history_is_gone() {
+async fn test_watch_before_retained_history_is_rejected() {
     let (platform, url) = start().await;
     let faults = PlatformFaults {
         history_limit: Some(2),
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn test_older_copy_is_served_until_it_is_cleared() {
+async fn test_older_revision_is_served_until_fault_is_cleared() {
     let (platform, url) = start().await;
     for number in 1..=3 {
         platform.publish("a", &number);
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn test_dead_platform_answers_nobody_until_it_is_back() {
+async fn test_dead_platform_answers_only_after_recovery() {
     let (platform, url) = start().await;
     platform.publish("a", &1);
     let dead = PlatformFaults {
--- a/standin/tests/test_upstream_core.rs
+++ b/standin/tests/test_upstream_core.rs
@@ -1,4 +1,5 @@
-//! The upstream stand-in keeps its promises: what it says it did not start, it does not start.
+//! Tests that the upstream stand-in never starts a request that it reported as not started, and
+//! that its records and answers show duplicates and mix-ups.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,9 +9,9 @@
 use lagoonproxy::wire_frame::RoutingTag;
 use lagoonproxy::wire_frame::UpstreamBody;
 use lagoonproxy::wire_frame::UpstreamFrame;
-use lagoonproxy_standin::answer_content::AnswerIdentity;
-use lagoonproxy_standin::answer_content::AnswerVerdict;
-use lagoonproxy_standin::answer_content::JobOrder;
+use lagoonproxy_standin::answer_content::AnswerIntegrity;
+use lagoonproxy_standin::answer_content::PayloadSpec;
+use lagoonproxy_standin::answer_content::RequestIdentity;
 use lagoonproxy_standin::service_time::ServiceTime;
 use lagoonproxy_standin::upstream_core::UpstreamBehaviour;
 use lagoonproxy_standin::upstream_core::UpstreamCore;
@@ -55,14 +56,14 @@
     UpstreamBody::Run {
         remaining,
         idempotent: false,
-        payload: JobOrder::default().payload(0),
+        payload: PayloadSpec::default().payload(0),
     }
 }
 
 struct RefusalCase {
     name: &'static str,
     behaviour: UpstreamBehaviour,
-    /// Requests sent before the one that is refused.
+    /// Number of requests sent before the one that is rejected.
     before: u64,
     remaining: Duration,
     cancel: bool,
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn test_refusals_are_never_followed_by_a_start() {
+fn test_rejected_requests_are_never_started() {
     let second = Duration::from_secs(1);
     let plain = UpstreamBehaviour::default();
     let cases = [
@@ -117,13 +118,13 @@
         let host: SocketAddr = ([127, 0, 0, 1], 1).into();
         let mut replies: Vec<UpstreamReply> = Vec::new();
         for request in 1..=case.before {
-            core.take(start, host, frame(request, run_body(second)), &mut replies);
+            core.handle_frame(start, host, frame(request, run_body(second)), &mut replies);
         }
         let refused = case.before + 1;
         let body = run_body(case.remaining);
-        core.take(start, host, frame(refused, body), &mut replies);
+        core.handle_frame(start, host, frame(refused, body), &mut replies);
         if case.cancel {
-            core.take(
+            core.handle_frame(
                 start,
                 host,
                 frame(refused, UpstreamBody::Cancel),
@@ -148,14 +149,14 @@
 }
 
 #[test]
-fn test_second_copy_is_run_and_counted() {
+fn test_duplicate_request_is_run_and_counted() {
     let start = Instant::now();
     let mut core = UpstreamCore::new(settings(), start);
     let host: SocketAddr = ([127, 0, 0, 1], 1).into();
     let mut replies = Vec::new();
     for _copy in 0..2 {
         let copy = frame(1, run_body(Duration::from_secs(1)));
-        core.take(start, host, copy, &mut replies);
+        core.handle_frame(start, host, copy, &mut replies);
     }
     core.advance(start + WORK, &mut replies);
     core.advance(start + 2 * WORK, &mut replies);
@@ -163,34 +164,46 @@
 }
 
 #[test]
-fn test_answers_show_whose_they_are() {
-    let right = AnswerIdentity {
+fn test_answers_identify_their_request() {
+    let right = RequestIdentity {
         service: LEDGER.into(),
         caller: ([127, 0, 0, 1], 9).into(),
         flow: 1,
         request: 1,
     };
-    let order = JobOrder {
+    let spec = PayloadSpec {
         answer_len: 3_000,
         work: Duration::ZERO,
     };
-    let payload = order.payload(10);
+    let payload = spec.payload(10);
     let answer = right.answer(&payload);
     assert_eq!(answer.len(), 3_000);
-    let other = AnswerIdentity {
+    let other = RequestIdentity {
         request: 2,
         ..right
     };
     let mut mixed = other.answer(&payload);
     mixed[..1_000].copy_from_slice(&answer[..1_000]);
     let cases = [
-        ("whole", answer.clone(), AnswerVerdict::Whole),
-        ("cut", answer[..2_000].to_vec(), AnswerVerdict::Truncated),
-        ("another's", other.answer(&payload), AnswerVerdict::Foreign),
-        ("two mixed", mixed, AnswerVerdict::Foreign),
-        ("other payload", right.answer(b"x"), AnswerVerdict::Foreign),
+        ("whole", answer.clone(), AnswerIntegrity::Whole),
+        (
+            "truncated",
+            answer[..2_000].to_vec(),
+            AnswerIntegrity::Truncated,
+        ),
+        (
+            "of another request",
+            other.answer(&payload),
+            AnswerIntegrity::Foreign,
+        ),
+        ("two mixed", mixed, AnswerIntegrity::Foreign),
+        (
+            "other payload",
+            right.answer(b"x"),
+            AnswerIntegrity::Foreign,
+        ),
     ];
     for (name, received, verdict) in cases {
-        assert_eq!(right.judge(&payload, &received), verdict, "{name}");
+        assert_eq!(right.verify(&payload, &received), verdict, "{name}");
     }
 }
--- a/standin/tests/test_whole_path.rs
+++ b/standin/tests/test_whole_path.rs
@@ -1,4 +1,5 @@
-//! Callers behind a fabric that loses, repeats and reorders, eight entry hosts, two services.
+//! Tests the whole path: callers behind a fabric that drops, duplicates and reorders datagrams, up
+//! to eight entry hosts, and the upstreams of two services.
 
 use lagoonproxy_standin::demo::DEMO_SERVICES;
 use lagoonproxy_standin::demo::DEMO_ZONES;
@@ -19,7 +20,7 @@
 async fn test_callers_receive_whole_answers_of_their_own() {
     let cases = [
         FabricCase {
-            name: "quiet fabric, two hosts",
+            name: "faultless fabric, two hosts",
             hosts: 2,
             requests: 300,
             fabric: FabricSettings::default(),
@@ -47,7 +48,7 @@
         let run = LoadRun::open(settings, &demo.fabric).await.unwrap();
         let mut report = run.run().await;
         let services = DEMO_SERVICES.map(|service| service.address);
-        report.judge(&services, &demo.run_reports());
+        report.verify(&services, &demo.run_reports());
         assert_eq!(report.jobs(), case.requests, "{}", case.name);
         assert_eq!(report.exit_code(), 0, "{}\n{report}", case.name);
     }
